--- a/benchmarks/jam/__main__.py
+++ b/benchmarks/jam/__main__.py
@@ -102,7 +102,14 @@
         speed = draw(0.85, 1.1) if fast else draw(0.51, 0.69)
         slots, room = int(cores * draw(7, 17)), int(cores * draw(9, 37))
         return Endpoint(
-            self.clock, f"e{self.names:04d}", cores, speed, slots, room, self.tipping, call  # type: ignore[arg-type]
+            self.clock,
+            f"e{self.names:04d}",
+            cores,
+            speed,
+            slots,
+            room,
+            self.tipping,
+            call,  # type: ignore[arg-type]
         )
 
     def _add_outer(self, born: int = 0) -> Endpoint:
@@ -115,9 +122,7 @@
         def call(job: Job, back: object) -> None:
             if not inside:
                 number = len(self.cells)
-                made = Sidecar(
-                    self.clock, self._settings(1, OUTER, number % OUTER), number, self.inner, self.chance
-                )
+                made = Sidecar(self.clock, self._settings(1, OUTER, number % OUTER), number, self.inner, self.chance)
                 made.listed(ListForm.CACHED, [entry(e, i // 6) for i, e in enumerate(self.inner.values())])
                 inside.append(made)
             left = next(c.deadline_us for c in CLASSES if c.name == job.grade) // 2
--- a/benchmarks/proxy.py
+++ b/benchmarks/proxy.py
@@ -129,7 +129,8 @@
     for i, event in enumerate(events):
         number = len(subject.cpu_us) * CALLERS + i
         _, caller = await loop.create_connection(
-            lambda number=number, event=event: Caller(subject, number, event), *subject.address  # type: ignore[misc]
+            lambda number=number, event=event: Caller(subject, number, event),  # type: ignore[misc]
+            *subject.address,
         )
         callers.append(caller)
     cpu, begun = subject.cpu_s(), time.perf_counter()
--- a/benchmarks/reports.py
+++ b/benchmarks/reports.py
@@ -75,9 +75,7 @@
         capacity = sum(e.cores * e.speed for e in self.endpoints.values())
         self.rate = load * capacity / (WORK_MS / 1000)
         self.asked = self.served = 0
-        listed = [
-            entry(e, i // 4)._replace(weight=float(e.cores)) for i, e in enumerate(self.endpoints.values())
-        ]
+        listed = [entry(e, i // 4)._replace(weight=float(e.cores)) for i, e in enumerate(self.endpoints.values())]
         self.sidecars = []
         for rank in range(SIDECARS):
             sidecar = Sidecar(
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -1,6 +1,6 @@
 """A look-up against the number of routes: the same table shapes with 10, 100, 1,000 and 10,000 routes, in one run.
 
-    python -m benchmarks.routes
+python -m benchmarks.routes
 """
 
 from __future__ import annotations
--- a/benchmarks/thrift.py
+++ b/benchmarks/thrift.py
@@ -198,7 +198,8 @@
         for _ in range(CALLERS):
             event = asyncio.Event()
             _, caller = await loop.create_connection(
-                lambda event=event: Caller(self.make(), self.whole, event), *self.subject.address  # type: ignore[misc]
+                lambda event=event: Caller(self.make(), self.whole, event),  # type: ignore[misc]
+                *self.subject.address,
             )
             callers.append(caller)
         cpu, begun = self.subject.cpu_s(), loop.time()
--- a/eiderhub/balancer.py
+++ b/eiderhub/balancer.py
@@ -571,7 +571,12 @@
     )  # fmt: skip
 
     def __init__(
-        self, call: str, grade: RequestClass, now: int, due: int, bucket: TokenBuckets.Bucket
+        self,
+        call: str,
+        grade: RequestClass,
+        now: int,
+        due: int,
+        bucket: TokenBuckets.Bucket,
     ) -> None:
         self.id = call
         self.grade = grade
@@ -754,7 +759,7 @@
             for c in classes
             if c.variant_of
             for over in (False, True)
-        )
+        )  # fmt: skip
 
     def adopt(self, now_us: int, classes: Sequence[RequestClass]) -> None:
         """Variants come and go while calls are out: those still in use stay until a later change."""
@@ -957,7 +962,9 @@
     def _refuse(self, call: Call) -> None:
         """Final answer without a result: `shed` where that is legal."""
         if may_refuse(
-            call.grade.effect, call.grade.group, call.first_run is not None or bool(call.outstanding)
+            call.grade.effect,
+            call.grade.group,
+            call.first_run is not None or bool(call.outstanding),
         ):
             wait = 0
             limits = self.settings.limits
--- a/eiderhub/config/command.py
+++ b/eiderhub/config/command.py
@@ -228,4 +228,3 @@
     if key.default is REQUIRED:
         return "; needed"
     return f"; {key.default} where it is left out" if isinstance(key.default, str) else ""
-
--- a/eiderhub/config/sidecar_file.py
+++ b/eiderhub/config/sidecar_file.py
@@ -210,6 +210,7 @@
     foreign=True,
 )
 
+
 def check(document: dict[str, Any], root: Spot) -> None:
     """What is well-formed and wrong in one sidecar's file. `document` is what `DOCUMENT` read."""
     settings = document.get("settings", {})
@@ -303,8 +304,7 @@
     elif effect == Effect.DEDUPLICATED.value and known.window_us and window > known.window_us:
         (spot / "DedupWindowUs").error(
             "window",
-            f"a key is resent for {show_duration(window)}, and endpoints drop it for "
-            f"{show_duration(known.window_us)}",
+            f"a key is resent for {show_duration(window)}, and endpoints drop it for {show_duration(known.window_us)}",
             "A repeat after that would run a second time",
             f"Write {known.window_us} or less",
         )
--- a/eiderhub/config/write.py
+++ b/eiderhub/config/write.py
@@ -206,7 +206,9 @@
         f"{connect} to fail, and no more than the module makes of them in tier {layer}",
         "settings.Allowed.SecondCopies": f"for {', '.join(harmless)}, which are harmless to repeat"
         if harmless and layer == 0
-        else "off: in an inner tier copies multiply" if layer else "off: no class is harmless to repeat",
+        else "off: in an inner tier copies multiply"
+        if layer
+        else "off: no class is harmless to repeat",
         "settings.Allowed.MaxRetryAfterUs": "the longest wait that clients obey, as described",
     }
     if table["tenants"]:
--- a/eiderhub/fleet/options.py
+++ b/eiderhub/fleet/options.py
@@ -135,9 +135,7 @@
     listen, address, contacts = addresses(document, row)
     terms = Terms(row["period"], contacts, row["introduced"], row["roster"], row["evidence"])
     key = read_key(row["key-file"]) if row["key-file"] else None
-    return Options(
-        name, listen, address, terms, key, row["folder"], row["clock-offset"], build_of(document, tables)
-    )
+    return Options(name, listen, address, terms, key, row["folder"], row["clock-offset"], build_of(document, tables))
 
 
 def build_of(document: dict[str, Any], tables: dict[str, Any]) -> bytes:
--- a/eiderhub/interface.py
+++ b/eiderhub/interface.py
@@ -206,9 +206,7 @@
         names = [c.name for c in self.classes]
         _require(len(set(names)) == len(names), "classes", "names must differ")
         full = {c.name for c in self.classes if not c.variant_of}
-        _require(
-            all(c.variant_of in full for c in self.classes if c.variant_of), "classes", "a variant of no class"
-        )
+        _require(all(c.variant_of in full for c in self.classes if c.variant_of), "classes", "a variant of no class")
         names = [t.name for t in self.tenants]
         _require(len(set(names)) == len(names), "tenants", "names must differ")
         _require(self.rank >= 0, "rank", "must not be negative")
--- a/eiderhub/protocols/http1/server.py
+++ b/eiderhub/protocols/http1/server.py
@@ -199,9 +199,7 @@
         if len(self.waiting) >= MAX_WAITING:
             self._fault(400, "too many requests at once")
         keep = parser.should_keep_alive() and not parser.should_upgrade()
-        self.waiting.append(
-            Incoming(parser.get_method(), self._url, self._headers, bytes(self._body), keep, now_us())
-        )
+        self.waiting.append(Incoming(parser.get_method(), self._url, self._headers, bytes(self._body), keep, now_us()))
 
     # --- one request after another ---
 
--- a/eiderhub/protocols/thrift/plan.py
+++ b/eiderhub/protocols/thrift/plan.py
@@ -146,5 +146,3 @@
     if not 0 < len(told) <= MAX_ID:
         raise NotTaken(Failure.PROTOCOL_ERROR, f"{name}: empty or too long")
     return told
-
-
--- a/eiderhub/protocols/thrift/server.py
+++ b/eiderhub/protocols/thrift/server.py
@@ -171,9 +171,7 @@
             return
         self.proved()
         payload = call.payload = Call(message, header, self.server.wires[self.encoding])
-        request = Request(
-            call, admitted.grade, admitted.tenant, admitted.hint_us, now_us() + admitted.wait_us, payload
-        )
+        request = Request(call, admitted.grade, admitted.tenant, admitted.hint_us, now_us() + admitted.wait_us, payload)
         call.request = request
         self.server.host.take(request)
 
@@ -267,5 +265,3 @@
             backlog=BACKLOG,
             start_serving=False,
         )
-
-
--- a/eiderhub/routing/conflicts.py
+++ b/eiderhub/routing/conflicts.py
@@ -98,9 +98,7 @@
     return bool(a.service or a.call) and (b.pattern != EVERYTHING or bool(b.methods))
 
 
-def _between(
-    a: Route, b: Route, own: list[Claim], others: list[Claim], known: set[Claim]
-) -> tuple[str, str]:
+def _between(a: Route, b: Route, own: list[Claim], others: list[Claim], known: set[Claim]) -> tuple[str, str]:
     if _apart(a, b) or _apart(b, a):
         return "", ""
     differ = a.outcome() != b.outcome()
--- a/eiderhub/routing/options.py
+++ b/eiderhub/routing/options.py
@@ -65,7 +65,7 @@
         Key("name", NAME_TEXT, "what the route is called, in logs and by the tool"),
         Key("class", Text(r".{1,128}", "a class's name"), "the class of its requests"),
         Key("path", PathText(), "exact, with {name} for any one part, or with /* for all below", Pattern((), True)),
-        Key("method", Several(Text(TOKEN, "a method such as \"GET\"")), "the methods that it takes", ()),
+        Key("method", Several(Text(TOKEN, 'a method such as "GET"')), "the methods that it takes", ()),
         Key("protocol", Choice(PROTOCOLS), "the protocol that it takes", None),
         Key("tenant", Text(r".{1,128}", "a tenant's name"), "the tenant that it takes", None),
         Key("service", Text(r"[^\x00-\x1f]{1,128}", "a service's name"), "the service, where there is one", None),
@@ -370,9 +370,7 @@
                     )
 
 
-def _check_between(
-    pair: Pair, rows: list[dict[str, Any]], spots: list[Spot], effects: dict[str, str]
-) -> None:
+def _check_between(pair: Pair, rows: list[dict[str, Any]], spots: list[Spot], effects: dict[str, str]) -> None:
     routes = [route_of(row) for row in rows]
     for conflict in find_conflicts(routes):
         _tell_conflict(routes, spots, conflict.first, conflict.second, conflict.kind, conflict.example)
@@ -456,9 +454,7 @@
     return found
 
 
-def _carries_off(
-    route: Route, name: str, names: dict[str, str], guards: dict[bytes, int], strict: int
-) -> bool:
+def _carries_off(route: Route, name: str, names: dict[str, str], guards: dict[bytes, int], strict: int) -> bool:
     if route.service or route.call:
         return False
     parts = route.pattern.parts
--- a/eiderhub/schema/findings.py
+++ b/eiderhub/schema/findings.py
@@ -64,9 +64,7 @@
 
     def add(self, severity: Severity, path: Path, code: str, what: str, follows: str, do: str) -> None:
         if len(self.findings) < MOST:
-            self.findings.append(
-                Finding(self.file, self.line(path), show_key(path), code, severity, what, follows, do)
-            )
+            self.findings.append(Finding(self.file, self.line(path), show_key(path), code, severity, what, follows, do))
 
     @property
     def errors(self) -> list[Finding]:
--- a/eiderhub/sidecar/__main__.py
+++ b/eiderhub/sidecar/__main__.py
@@ -227,9 +227,7 @@
     operator = words[1] if words else None
     handler = logging.StreamHandler()
     handler.addFilter(Sparse())
-    logging.basicConfig(
-        level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s", handlers=[handler]
-    )
+    logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s", handlers=[handler])
     try:
         config = _start(operator)
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/eiderhub/sidecar/config.py
+++ b/eiderhub/sidecar/config.py
@@ -114,9 +114,7 @@
             elsewhere or bool(known.entries),  # a fixed list of endpoints
         ),
         seed=_seed(document.get("seed")),
-        bounds=Bounds.within(
-            int(_limit(document, "sockets", SOCKETS)), _limit(document, "memory_mb", MEMORY_MB)
-        ),
+        bounds=Bounds.within(int(_limit(document, "sockets", SOCKETS)), _limit(document, "memory_mb", MEMORY_MB)),
         known=known,
         settings=settings,
     )
--- a/eiderhub/sidecar/options.py
+++ b/eiderhub/sidecar/options.py
@@ -48,7 +48,7 @@
             "listen",
             f"{listen} is no loopback address, and limits.listen asks for one",
             "Other machines could reach the sidecar",
-            "Listen on 127.0.0.1, or write limits.listen = \"any\"",
+            'Listen on 127.0.0.1, or write limits.listen = "any"',
         )
 
 
--- a/tests/config/test_tool.py
+++ b/tests/config/test_tool.py
@@ -265,6 +265,6 @@
     written = (tmp_path / "out" / "shop" / "operator.toml").read_text()
     assert '[thrift]\nlisten = "127.0.0.1:0"' in written
     assert main(["check", str(tmp_path / "out")]) == 0
-    path.write_text(sound.replace('methods = { "Invoice:issue"', 'methods = { look'))
+    path.write_text(sound.replace('methods = { "Invoice:issue"', "methods = { look"))
     assert main(["write", str(path), "--out", str(tmp_path / "out")]) == 1
     assert "unsafe-method" in capsys.readouterr().out
--- a/tests/conformance/worlds.py
+++ b/tests/conformance/worlds.py
@@ -151,9 +151,7 @@
     @asynccontextmanager
     async def world(endpoints: int, **settings: Any) -> AsyncIterator[World]:
         fields = {"key": (1,), "deadline_ms": (2,)}
-        options = Options(
-            "127.0.0.1", 0, encoding=inner, tenant="acme", fields=fields, shedding=frozenset((SHED,))
-        )
+        options = Options("127.0.0.1", 0, encoding=inner, tenant="acme", fields=fields, shedding=frozenset((SHED,)))
         async with Sidecar(endpoints, thrift=options, fake=ThriftFake, **settings) as sidecar:
 
             async def connect() -> Caller:
--- a/tests/fleet/test_rig.py
+++ b/tests/fleet/test_rig.py
@@ -176,7 +176,6 @@
         behaviours = [Behaviour() for _ in range(8)]
         behaviours[0].error_rate = 1.0
 
-
         endpoints = [await Endpoint(ledger, b, random.Random(1)).start() for b in behaviours]
         rows = [row(f"s-{i}", endpoint.address) for i, endpoint in enumerate(endpoints)]
         async with Rig(3, 1, PERIOD_S, rows) as rig:
--- a/tests/membership/test_pace.py
+++ b/tests/membership/test_pace.py
@@ -66,6 +66,7 @@
     ends = sorted(pace(place=(rank + 0.5) / copies).question().patience_s for rank in range(copies))
     assert min(later - sooner for sooner, later in pairwise(ends)) > 8.0 / copies
 
+
 def test_an_answer_ends_the_checks() -> None:
     p = pace()
     p.failed(silent=True)
--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -332,9 +332,7 @@
 
 
 @contextlib.asynccontextmanager
-async def program(
-    tmp_path: Path, changes: dict[str, Any], *words: str, **variables: str
-) -> AsyncIterator[Program]:
+async def program(tmp_path: Path, changes: dict[str, Any], *words: str, **variables: str) -> AsyncIterator[Program]:
     endpoint = await Fake().start()
     with socket.create_server(("127.0.0.1", 0)) as free:
         address = free.getsockname()
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -134,9 +134,7 @@
 
 
 @pytest.mark.parametrize("sent", ["", "POST /pay HT", HEAD, HEAD + "Content-Length: 9\r\n\r\nhalf"])
-def test_caller_that_never_makes_a_whole_request_is_closed(
-    sent: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_caller_that_never_makes_a_whole_request_is_closed(sent: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """Seen: one that said nothing stayed for good, and one half way for ten seconds; three are allowed."""
 
     async def test() -> None:
@@ -276,9 +274,7 @@
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = await sidecar.client()
-            client.writer.write(
-                b"GET /pay HTTP/1.1\r\nReq-Id: 1\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 9\r\n\r\n"
-            )
+            client.writer.write(b"GET /pay HTTP/1.1\r\nReq-Id: 1\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 9\r\n\r\n")
             assert (await client.answer()).status == 405
             assert sidecar.host.serial == 0
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -169,4 +169,3 @@
     )
     assert done.returncode == 0, done.stdout + done.stderr
     assert "without an answer: 0; the sidecar ended with status 0" in done.stdout
-
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -100,9 +100,7 @@
         host.balancer.order(host.now, call, "look", "small", S, None)
 
 
-@given(
-    st.lists(st.tuples(st.sampled_from(["look", "hold", "pay"]), st.sampled_from(list(Outcome))), max_size=60)
-)
+@given(st.lists(st.tuples(st.sampled_from(["look", "hold", "pay"]), st.sampled_from(list(Outcome))), max_size=60))
 def test_every_call_gets_one_answer_whatever_the_outcomes(story: list[tuple[str, Outcome]]) -> None:
     host = Host(entries=endpoints(6))
     served: set[str] = set()
@@ -284,9 +282,7 @@
 
 ZONES, KINDS, STATES = ("east", "west", "north"), ("std", "fast"), ("ready", "draining", "gone")
 BOUND = RequestClass("bound", 1 * S, 3 * S, Effect.IDEMPOTENT, stays_in=frozenset(("west", "north")))
-FAST = RequestClass(
-    "fast", 1 * S, 3 * S, Effect.DEDUPLICATED, Group.ALL, 2 * S, served_on=frozenset(("fast",))
-)
+FAST = RequestClass("fast", 1 * S, 3 * S, Effect.DEDUPLICATED, Group.ALL, 2 * S, served_on=frozenset(("fast",)))
 NOWHERE = RequestClass("nowhere", 1 * S, 3 * S, Effect.AT_MOST_ONCE, served_on=frozenset())
 ROWS = st.lists(
     st.tuples(st.integers(0, 30), st.sampled_from(ZONES), st.sampled_from(KINDS), st.sampled_from(STATES)),
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -352,9 +352,7 @@
         ({"settings": SETUP, "limits": {"sockets": 0}}, "limits.sockets"),
     ],
 )
-def test_bad_configuration_ends_with_one_plain_line(
-    tmp_path: Path, changes: dict[str, Any], reason: str
-) -> None:
+def test_bad_configuration_ends_with_one_plain_line(tmp_path: Path, changes: dict[str, Any], reason: str) -> None:
     process = started(tmp_path, changes)
     _, said = process.communicate(timeout=20)
     assert process.returncode == 1
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -146,9 +146,7 @@
     assert ended.stdout.splitlines()[-1] == "finished"
 
 
-@pytest.mark.parametrize(
-    "cut", [["sync 2000"], ["sync 2000", "manifest 0 2", "row 10.0.0.1:80 e s 0 ready 1 -"]]
-)
+@pytest.mark.parametrize("cut", [["sync 2000"], ["sync 2000", "manifest 0 2", "row 10.0.0.1:80 e s 0 ready 1 -"]])
 def test_truncated_batch_is_an_error(cut: list[str]) -> None:
     with pytest.raises(WireError, match="ends inside"):
         play(START + cut)
--- a/tests/thrift/values.py
+++ b/tests/thrift/values.py
@@ -42,9 +42,7 @@
 
     def filled(first: Value) -> st.SearchStrategy[Value]:
         one = SCALARS[first[0]] if first[0] in SCALARS else st.just(first[1])
-        return st.tuples(
-            st.sampled_from((T.LIST, T.SET)), st.tuples(st.just(first[0]), st.lists(one, max_size=20))
-        )
+        return st.tuples(st.sampled_from((T.LIST, T.SET)), st.tuples(st.just(first[0]), st.lists(one, max_size=20)))
 
     return inner.flatmap(filled)
 
@@ -116,9 +114,11 @@
         key, inner, rows = value
         if not rows:
             return 0, 0, []
-        return key, inner, [
-            (without_types_of_empty_maps(key, a), without_types_of_empty_maps(inner, b)) for a, b in rows
-        ]
+        return (
+            key,
+            inner,
+            [(without_types_of_empty_maps(key, a), without_types_of_empty_maps(inner, b)) for a, b in rows],
+        )
     if kind in (T.LIST, T.SET):
         return value[0], [without_types_of_empty_maps(value[0], one) for one in value[1]]
     return value
