--- a/eiderhub/config/load.py
+++ b/eiderhub/config/load.py
@@ -131,7 +131,7 @@
         return None
     from eiderhub.fleet import options  # off where the file says nothing of it
 
-    return options.member(raw, pair.tables, name)
+    return options.member_options(raw, pair.tables, name)
 
 
 def checked(environ: Mapping[str, str], operator: str | None) -> Config:
--- a/eiderhub/fleet/command.py
+++ b/eiderhub/fleet/command.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from eiderhub.fleet.journal import EVENTS, MEMBERS
+from eiderhub.fleet.event_log import EVENTS, MEMBERS
 
 STATES = ("alive", "suspect", "left", "gone")
 
--- a/eiderhub/fleet/port.py
+++ b/eiderhub/fleet/node.py
@@ -14,8 +14,8 @@
 from collections.abc import Mapping
 from typing import Any, Protocol
 
+from eiderhub.fleet.event_log import Journal
 from eiderhub.fleet.evidence import Listed
-from eiderhub.fleet.journal import Journal
 from eiderhub.fleet.messages import MOST, Codec
 from eiderhub.fleet.options import Options
 from eiderhub.fleet.protocol import Event, Fleet, described
@@ -42,7 +42,7 @@
     def hearsay(self, parts: Mapping[str, float]) -> None: ...
 
 
-class Port:
+class FleetNode:
     """One member's edge."""
 
     def __init__(self, options: Options, host: Endpoints) -> None:
@@ -252,9 +252,9 @@
     return (launched_us + UNIX_OFFSET_US) // 1000 if launched_us else 0
 
 
-def join(options: Options, host: Any) -> Port:
+def join_fleet(options: Options, host: Any) -> FleetNode:
     """Let the host's outcomes be witnessed, and start once the loop runs."""
-    port = Port(options, host)
+    port = FleetNode(options, host)
     if options.terms.knows:
         host.witness = port.witness
     return port
--- a/eiderhub/fleet/options.py
+++ b/eiderhub/fleet/options.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from eiderhub.fleet.members import Address
+from eiderhub.fleet.member_table import Address
 from eiderhub.fleet.messages import NAME, digest
 from eiderhub.fleet.protocol import Terms
 from eiderhub.schema.kinds import Duration, Flag, Int, Key, Kind, Number, Several, SocketAddress, Table, Text
@@ -127,7 +127,7 @@
     raise ValueError(f"{what}: no IPv4 address:port: {value!r}")
 
 
-def member(document: dict[str, Any], tables: dict[str, Any], name: str) -> Options | None:
+def member_options(document: dict[str, Any], tables: dict[str, Any], name: str) -> Options | None:
     """What a checked pair of files asks for. Raises ValueError."""
     row = tables.get("fleet")
     if row is None:
--- a/eiderhub/fleet/protocol.py
+++ b/eiderhub/fleet/protocol.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from eiderhub.fleet.evidence import Board
-from eiderhub.fleet.members import Address, Agreement, Member, Table
+from eiderhub.fleet.member_table import Address, Agreement, Member, Table
 from eiderhub.fleet.messages import (
     Ack,
     Ask,
--- a/eiderhub/sidecar/__main__.py
+++ b/eiderhub/sidecar/__main__.py
@@ -182,9 +182,9 @@
         consul = join_consul(config.consul, host)
     fleet = None
     if config.fleet is not None:
-        from eiderhub.fleet.port import join  # off where the operator's file says nothing of it
+        from eiderhub.fleet.node import join_fleet  # off where the operator's file says nothing of it
 
-        fleet = join(config.fleet, host)
+        fleet = join_fleet(config.fleet, host)
     host.start()
     if consul is not None:
         consul.start()
--- a/tests/fleet/test_files.py
+++ b/tests/fleet/test_files.py
@@ -13,7 +13,7 @@
 
 from eiderhub.cli import main
 from eiderhub.config.load import Examined, Source, examine
-from eiderhub.fleet.journal import EVENTS, MEMBERS, MOST_BYTES, Journal
+from eiderhub.fleet.event_log import EVENTS, MEMBERS, MOST_BYTES, Journal
 from eiderhub.sidecar.config import needs_restart
 from tests.sidecar_support import SETUP, listing, row
 
--- a/tests/fleet/test_protocol.py
+++ b/tests/fleet/test_protocol.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from eiderhub.fleet import protocol
-from eiderhub.fleet.members import Address, Table
+from eiderhub.fleet.member_table import Address, Table
 from eiderhub.fleet.messages import Change, Codec, State, pack_address, unpack_address
 from eiderhub.fleet.protocol import FORGET_PERIODS, MOST_NEWS, Terms
 from standins.fleet.faults import Link
