--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -115,7 +115,7 @@
         endpoint.came = came
         await endpoint.start()
         endpoints.append(endpoint)
-        discovery.tell(row(f"s-{i}", endpoint.address))
+        discovery.update(row(f"s-{i}", endpoint.address))
     document: dict[str, Any] = {
         "name": "n0", "discovery": discovery.address, "seed": "1",
         "limits": {"sockets": 1024, "memory_mb": 128}, "settings": SETTINGS,
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -80,11 +80,13 @@
 
     async def update(self) -> None:
         self.index += 1
-        asked = len(self.agent.questions)
-        self.agent.say(answer(200, self.bodies[self.index % len(self.bodies)], f"X-Consul-Index: {self.index}"))
-        while len(self.agent.questions) == asked:
+        asked = len(self.agent.requests)
+        self.agent.respond_with(
+            answer(200, self.bodies[self.index % len(self.bodies)], f"X-Consul-Index: {self.index}")
+        )
+        while len(self.agent.requests) == asked:
             await asyncio.sleep(0.001)
-        self.applied_ms.append((time.monotonic() - self.agent.told_at[-1]) * 1e3)
+        self.applied_ms.append((time.monotonic() - self.agent.answered_at[-1]) * 1e3)
 
     async def round(self, updates: bool) -> tuple[float, float]:
         """The 99th percentile of the latency of requests, and the CPU of the round, in milliseconds."""
@@ -130,7 +132,7 @@
         found = {**document(), "discovery": "127.0.0.1:1"}
         async with running(Path(folder), found, operator) as (process, host, port):
             rig = Rig(agent, Subject(f"{size} instances", process.pid, (host, port)), bodies)
-            while not agent.told_at:
+            while not agent.answered_at:
                 await asyncio.sleep(0.01)
             small_mb = memory_mb(process.pid)
             await asyncio.sleep(0.2)  # past the pace at which it asks
@@ -168,13 +170,13 @@
     with tempfile.TemporaryDirectory() as folder:
         async with running(Path(folder), document(), operator) as (process, host, port):
             subject = Subject("services", process.pid, (host, port))
-            while len(agent.questions) < 2 * SERVICES:  # each is asked for again: its list is in force
+            while len(agent.requests) < 2 * SERVICES:  # each is asked for again: its list is in force
                 await asyncio.sleep(0.01)
             small_mb = memory_mb(process.pid)
-            asked, begun = len(agent.questions), time.monotonic()
+            asked, begun = len(agent.requests), time.monotonic()
             for i, name in enumerate(names):
                 agent.set(name, *[instance(name, f"10.{i}.0.{k}:80", "passing", f"n{k}") for k in range(NODES)])
-            while len(agent.questions) < asked + SERVICES:
+            while len(agent.requests) < asked + SERVICES:
                 await asyncio.sleep(0.001)
             took_ms = (time.monotonic() - begun) * 1e3
             await asyncio.sleep(1.0)
--- a/benchmarks/told.py
+++ b/benchmarks/notification_delay.py
@@ -1,6 +1,6 @@
 """How long after Consul has told of it an endpoint still gets a new call, counted outside the sidecar.
 
-    python -m benchmarks.told [--flips 60]
+    python -m benchmarks.notification_delay [--flips 60]
 
 The real program, three endpoints and callers that send one request after another. In each flip Consul tells, in a drawn
 way, that one endpoint is critical, gone or in maintenance, and takes it back a moment later. The endpoints note when
@@ -90,16 +90,16 @@
             await asyncio.sleep(0.5)
             for _ in range(flips):
                 held, how = chance.randrange(ENDPOINTS), chance.choice(HOW)
-                answers = len(agent.told_at)
+                answers = len(agent.answered_at)
                 agent.set("web", *rows(endpoints, held, how))
                 await asyncio.sleep(AWAY_S)
-                told = agent.told_at[answers]
+                told = agent.answered_at[answers]
                 after = [came - told for came in endpoints[held].came if came >= told]
                 latest[how].append(max(after, default=0.0))
-                answers = len(agent.told_at)
+                answers = len(agent.answered_at)
                 agent.set("web", *rows(endpoints, -1, ""))
                 await asyncio.sleep(AWAY_S)
-                told = agent.told_at[answers]
+                told = agent.answered_at[answers]
                 back.append(min(came - told for came in endpoints[held].came if came >= told))
             for caller in callers:
                 caller.cancel()
@@ -116,7 +116,7 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="python -m benchmarks.told", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m benchmarks.notification_delay", description=__doc__)
     parser.add_argument("--flips", type=int, default=60)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return int(runner.run(measure(parser.parse_args().flips)) > ALLOWED_S)
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -115,11 +115,11 @@
     for number in itertools.count(PORTS):
         at = number % PORTS
         await asyncio.sleep(CHURN_S / 2)
-        discovery.tell(row(names[at], endpoints[at].address, "draining"))
+        discovery.update(row(names[at], endpoints[at].address, "draining"))
         await asyncio.sleep(CHURN_S / 2)
-        discovery.tell(row(names[at], endpoints[at].address, "gone"))
+        discovery.update(row(names[at], endpoints[at].address, "gone"))
         names[at] = f"s-{number}"
-        discovery.tell(row(names[at], endpoints[at].address))
+        discovery.update(row(names[at], endpoints[at].address))
         del discovery.changes[:-64]
         if load.stopped:
             return
@@ -146,7 +146,7 @@
         for i in range(PORTS)
     ]
     for i, endpoint in enumerate(endpoints):
-        discovery.tell(row(f"s-{i}", endpoint.address))
+        discovery.update(row(f"s-{i}", endpoint.address))
     document = {
         "name": "soak", "seed": "5", "discovery": discovery.address, "settings": SETTINGS,
         "known": {"generation": 0, "reset": True, "instances": list(discovery.rows.values())},
--- a/eiderhub/config/load.py
+++ b/eiderhub/config/load.py
@@ -123,7 +123,7 @@
         return None
     from eiderhub.membership.consul import options  # off where the file says nothing of it
 
-    return options.source(pair.tables)
+    return options.read_options(pair.tables)
 
 
 def _fleet(raw: dict[str, Any], pair: Pair, name: str) -> Any:
--- a/eiderhub/membership/command.py
+++ b/eiderhub/membership/command.py
@@ -22,7 +22,7 @@
 
 from eiderhub.interface import Readiness
 from eiderhub.membership.consul.health import Meaning, read_health
-from eiderhub.membership.listing import Listed, read_listing
+from eiderhub.membership.endpoint_list import ListedEndpoint, read_endpoint_list
 from eiderhub.membership.merger import Merger, Step, Terms
 from eiderhub.sidecar.clock import UNIX_OFFSET_US
 
@@ -118,8 +118,8 @@
         if one.body is None:
             return self.merger.heard(one.source, one.at_us)
         if one.source.partition(":")[0] == "platform":
-            listing = read_listing(one.body)
-            return self.merger.tell(one.source, one.at_us, listing.whole, listing.entries)
+            listing = read_endpoint_list(one.body)
+            return self.merger.tell(one.source, one.at_us, listing.is_full, listing.entries)
         answer = read_health(json.dumps(one.body).encode(), self.meaning)
         for reason in answer.refused:
             self._line(f"line {one.number}: {one.source}: left out: {reason}")
@@ -137,5 +137,5 @@
         print(f"{(self.now_us - self.begun_us) / 1e6:9.3f} s  {text}")
 
 
-def _named(entry: Listed) -> str:
+def _named(entry: ListedEndpoint) -> str:
     return f"{entry.endpoint.id} at {entry.host}:{entry.port}"
--- a/eiderhub/membership/consul/client.py
+++ b/eiderhub/membership/consul/client.py
@@ -9,15 +9,15 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from eiderhub.membership.asker import Asker
 from eiderhub.membership.consul.health import Answer, read_catalogue, read_health
 from eiderhub.membership.consul.query import Ask, Options, Query
-from eiderhub.membership.listing import Listed
+from eiderhub.membership.endpoint_list import ListedEndpoint
+from eiderhub.membership.list_client import ListClient
 from eiderhub.sidecar.clock import now_us
 
 MAX_TOKEN = 4096  # bytes
 ASIDE = 64 * 1024  # bytes of an answer that are read beside the loop: a long list would hold up every request
-Told = Callable[[str, list[Listed]], Awaitable[None]]
+Told = Callable[[str, list[ListedEndpoint]], Awaitable[None]]
 log = logging.getLogger(__name__)
 
 
@@ -39,21 +39,21 @@
             task.cancel()
 
     async def _watch(self, service: str) -> None:
-        query, asker = Query(self.options, service), Asker(self.options.most)
+        query, asker = Query(self.options, service), ListClient(self.options.most)
         try:
             while True:
                 try:
                     pause_us = await self._once(query, asker)
                     self._complain(service, "")
                 except Exception as error:  # whatever it is: what Consul said last stands, and it is asked again
-                    asker.hang_up()
+                    asker.close_connection()
                     pause_us = query.failed(random.random())
                     self._complain(service, f"{type(error).__name__}: {error}")
                 await asyncio.sleep(pause_us / 1e6)
         finally:
-            asker.hang_up()
+            asker.close_connection()
 
-    async def _once(self, query: Query, asker: Asker) -> int:
+    async def _once(self, query: Query, asker: ListClient) -> int:
         answer, headers = await fetch(self.options, query.ask(now_us()), asker)
         pause_us = query.answered(now_us(), 200, headers)
         if answer.refused:
@@ -67,12 +67,12 @@
         self._complaints[service] = text
 
 
-async def fetch(options: Options, ask: Ask, asker: Asker) -> tuple[Answer, dict[str, str]]:
+async def fetch(options: Options, ask: Ask, asker: ListClient) -> tuple[Answer, dict[str, str]]:
     """One question's answer, and its headers by their names in small letters.
 
     Raises ValueError for what is no answer, with the reason, and OSError or TimeoutError where none comes.
     """
-    response = await asker.ask(ask.host, ask.port, await _request(options, ask), ask.patience_us / 1e6)
+    response = await asker.fetch(ask.host, ask.port, await _request(options, ask), ask.patience_us / 1e6)
     if response.status != 200:
         raise ValueError(f"answered {response.status}")
     headers = {name.decode("latin-1").lower(): value.decode("latin-1") for name, value in response.headers}
--- a/eiderhub/membership/consul/health.py
+++ b/eiderhub/membership/consul/health.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from eiderhub.interface import Endpoint, Readiness
-from eiderhub.membership.listing import Listed
+from eiderhub.membership.endpoint_list import ListedEndpoint
 from eiderhub.sidecar.clock import UNIX_OFFSET_US
 
 NODE_MAINTENANCE = "_node_maintenance"
@@ -97,7 +97,7 @@
 
 
 class Answer(NamedTuple):
-    entries: list[Listed]
+    entries: list[ListedEndpoint]
     refused: list[str]  # instances that were left out, each with its reason
 
 
@@ -129,7 +129,7 @@
     return Answer(entries, refused)
 
 
-def _listed(instance: _Instance, meaning: Meaning) -> Listed:
+def _listed(instance: _Instance, meaning: Meaning) -> ListedEndpoint:
     service, node = instance.service, instance.node
     tags = service.tags or []
     told = dict(tag.split("=", 1) for tag in tags if "=" in tag)
@@ -154,7 +154,7 @@
         launched_us=started_ms * 1000 - UNIX_OFFSET_US or 1 if started_ms else 0,
         labels=frozenset(labels),
     )
-    return Listed(endpoint, host, service.port)
+    return ListedEndpoint(endpoint, host, service.port)
 
 
 def _address(told: str) -> str:
--- a/eiderhub/membership/consul/options.py
+++ b/eiderhub/membership/consul/options.py
@@ -54,7 +54,7 @@
 }  # fmt: skip
 
 
-def source(tables: dict[str, Any]) -> Options | None:
+def read_options(tables: dict[str, Any]) -> Options | None:
     """What a checked operator's file asks for."""
     row = tables.get("consul")
     if row is None:
--- a/eiderhub/membership/consul/probe.py
+++ b/eiderhub/membership/consul/probe.py
@@ -6,9 +6,9 @@
 from dataclasses import replace
 from typing import NamedTuple
 
-from eiderhub.membership.asker import Asker
 from eiderhub.membership.consul.client import fetch
 from eiderhub.membership.consul.query import Options, Query
+from eiderhub.membership.list_client import ListClient
 from eiderhub.sidecar.clock import now_us
 
 
@@ -28,21 +28,21 @@
     """One question at a time; never raises for what an agent does."""
     found = []
     for host, port in options.agents:
-        asker = Asker(options.most)
+        asker = ListClient(options.most)
         for service in options.services:
             sound, text = await _ask(replace(options, agents=((host, port),)), service, asker)
             found.append(Probed(f"{host}:{port}", service, sound, text))
-        asker.hang_up()
+        asker.close_connection()
     return found
 
 
-async def _ask(options: Options, service: str, asker: Asker) -> tuple[bool, str]:
+async def _ask(options: Options, service: str, asker: ListClient) -> tuple[bool, str]:
     query = Query(options, service)
     try:
         answer, headers = await fetch(options, query.ask(now_us()), asker)
         query.answered(now_us(), 200, headers)
     except (OSError, ValueError, TimeoutError) as error:
-        asker.hang_up()
+        asker.close_connection()
         return False, f"{type(error).__name__}: {error}"
     return bool(answer.entries), ", ".join(_told(answer.refused, [e.endpoint.readiness.value for e in answer.entries]))
 
--- a/eiderhub/membership/listing.py
+++ b/eiderhub/membership/endpoint_list.py
@@ -8,7 +8,7 @@
 from eiderhub.sidecar.clock import UNIX_OFFSET_US
 
 
-class Listed(NamedTuple):
+class ListedEndpoint(NamedTuple):
     """One entry: the endpoint as the module knows it, and where it listens."""
 
     endpoint: Endpoint
@@ -16,10 +16,10 @@
     port: int
 
 
-class Listing(NamedTuple):
+class EndpointList(NamedTuple):
     generation: int
-    whole: bool
-    entries: list[Listed]
+    is_full: bool
+    entries: list[ListedEndpoint]
 
 
 def _labels(metadata: Any) -> frozenset[str]:
@@ -29,7 +29,7 @@
     return frozenset(f"{name}={value}" for name, value in metadata.items())
 
 
-def _entry(row: Any) -> Listed:
+def _entry(row: Any) -> ListedEndpoint:
     host, _, port = row["hostPort"].rpartition(":")
     started_ms = int(row.get("startedAtMs") or 0)
     weight = float(row.get("weight") or 1.0)
@@ -46,15 +46,15 @@
     )
     if not host:
         raise ValueError("hostPort")
-    return Listed(endpoint, host, int(port))
+    return ListedEndpoint(endpoint, host, int(port))
 
 
-def read_listing(document: Any) -> Listing:
+def read_endpoint_list(document: Any) -> EndpointList:
     """Read a list in discovery's form."""
     if document is None:  # a sidecar that never had one
-        return Listing(0, True, [])
+        return EndpointList(0, True, [])
     try:
         entries = [_entry(row) for row in document["instances"]]
-        return Listing(int(document["generation"]), bool(document["reset"]), entries)
+        return EndpointList(int(document["generation"]), bool(document["reset"]), entries)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise ValueError(f"no list of endpoints ({type(error).__name__}: {error})") from None
--- a/eiderhub/membership/asker.py
+++ b/eiderhub/membership/list_client.py
@@ -10,7 +10,7 @@
 CONNECT_S = 1.0  # and no longer than the answer is waited for: a connection that does not come up is silence too
 
 
-class Asker:
+class ListClient:
     """One connection, made anew where the last one has ended."""
 
     def __init__(self, most: int) -> None:
@@ -19,22 +19,22 @@
         self._connection: Connection | None = None
         self._answer: asyncio.Future[Response] | None = None
 
-    async def ask(self, host: str, port: int, request: bytes, patience_s: float) -> Response:
+    async def fetch(self, host: str, port: int, request: bytes, timeout_s: float) -> Response:
         """Raises OSError and TimeoutError, and ConnectionResetError for what is no answer, or too long."""
         loop = asyncio.get_running_loop()
         if self._at != (host, port):
-            self.hang_up()
+            self.close_connection()
         if self._connection is None or self._connection.lost:
             fresh = Connection(self, Budget(self.most), self.most)
-            async with asyncio.timeout(min(CONNECT_S, patience_s)):
+            async with asyncio.timeout(min(CONNECT_S, timeout_s)):
                 await loop.create_connection(lambda: fresh, host, port)
             self._connection, self._at = fresh, (host, port)
         self._answer = loop.create_future()
         self._connection.send(request)
-        async with asyncio.timeout(patience_s):
+        async with asyncio.timeout(timeout_s):
             return await self._answer
 
-    def hang_up(self) -> None:
+    def close_connection(self) -> None:
         """Nothing more is wanted of this connection: an answer on its way would be taken for the next question's."""
         if self._connection is not None:
             self._connection.close()
--- a/eiderhub/membership/merger.py
+++ b/eiderhub/membership/merger.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from eiderhub.interface import Endpoint, Readiness
-from eiderhub.membership.listing import Listed
+from eiderhub.membership.endpoint_list import ListedEndpoint
 
 MAX_GONE = 10_000  # addresses of which a source's "gone" is remembered; past that the oldest are forgotten
 CAUTION = {Readiness.READY: 0, Readiness.DRAINING: 1, Readiness.GONE: 2}
@@ -30,7 +30,7 @@
 class Step(NamedTuple):
     """What one word changed: entries for host and module, and what is worth a line in the log, once."""
 
-    changes: list[Listed]  # what ends before what begins, so that an id which moves is free in time
+    changes: list[ListedEndpoint]  # what ends before what begins, so that an id which moves is free in time
     notes: list[str]
 
 
@@ -40,11 +40,11 @@
     def __init__(self, terms: Terms) -> None:
         self.terms = terms
         self.heard_us = 0
-        self.at: dict[Address, dict[str, Listed]] = {}  # several ids may share an address: one of them may be stale
+        self.at: dict[Address, dict[str, ListedEndpoint]] = {}  # several ids may share an address; one may be stale
         self.where: dict[str, Address] = {}
         self.gone: dict[Address, int] = {}  # when it said so
 
-    def put(self, entry: Listed, now_us: int) -> Iterator[Address]:
+    def put(self, entry: ListedEndpoint, now_us: int) -> Iterator[Address]:
         """Take one entry in; the addresses of which this source now says something else."""
         name, address = entry.endpoint.id, (entry.host, entry.port)
         here = self.at.get(address)
@@ -97,11 +97,11 @@
             if terms.name in self._sources:
                 raise ValueError(f"two sources are named {terms.name}")
             self._sources[terms.name] = _Source(terms)
-        self.picture: dict[Address, Listed] = {}  # what is in force
+        self.picture: dict[Address, ListedEndpoint] = {}  # what is in force
         self._ids: dict[str, Address] = {}
         self._parted: dict[Address, tuple[tuple[str, Readiness], ...]] = {}  # disagreements that were told
 
-    def tell(self, source: str, now_us: int, whole: bool, entries: Iterable[Listed]) -> Step:
+    def tell(self, source: str, now_us: int, whole: bool, entries: Iterable[ListedEndpoint]) -> Step:
         """A source has spoken. A whole list says gone of all that it leaves out. Raises KeyError for no source."""
         teller = self._sources[source]
         teller.heard_us = now_us
@@ -169,7 +169,7 @@
                 begins.append(entry)
         return Step(ends + [self._placed(entry) for entry in begins], notes)
 
-    def _placed(self, entry: Listed) -> Listed:
+    def _placed(self, entry: ListedEndpoint) -> ListedEndpoint:
         """Into the picture, under the id that its address has, or one that no other address has."""
         address = (entry.host, entry.port)
         name = entry.endpoint.id
@@ -180,7 +180,7 @@
         self._ids[name] = address
         return placed
 
-    def _entry(self, address: Address, now_us: int) -> Listed | None:
+    def _entry(self, address: Address, now_us: int) -> ListedEndpoint | None:
         """What holds of an address now; None: it is gone, or nobody ever told of it."""
         known = [source.at[address] for source in self._sources.values() if address in source.at]
         word = self._word(address, now_us)
@@ -231,7 +231,7 @@
         return f"{address[0]}:{address[1]}: {told}"
 
 
-def _labels(entries: Iterable[Listed]) -> frozenset[str]:
+def _labels(entries: Iterable[ListedEndpoint]) -> frozenset[str]:
     """All labels, but that a fact is told by the first that knows it. An endpoint may have many tags and services."""
     found: set[str] = set()
     names: set[str] = set()
--- a/eiderhub/membership/pace.py
+++ b/eiderhub/membership/poll_schedule.py
@@ -15,22 +15,22 @@
 WAIT_MS = (10_000, 30_000)
 LATE_S = 0.4  # how late the answer of a watch may be: the rest of the 2 s, and the grace, are for asking again
 CHECKS = 3  # questions that follow a silent watch without a wait: each is answered or has failed
-CHECK_S = 1.5  # patience with each of those: one that is given up loses its turn
+RECHECK_TIMEOUT_S = 1.5  # patience with each of those: one that is given up loses its turn
 REFUSED_S = 0.25  # pause after one that was refused
 WHOLE_S = 2.5  # patience with a question for the whole list: all copies ask at once after a reload, and wait in turn
 PAUSE_S = (0.25, 1.0)  # first and longest pause where the whole list is still owed: it counts 4 s after SIGHUP
-LEAST_GRACE_US = 250_000  # of the grace that questions are paced by: with less an agent would be asked without rest
+MIN_GRACE_US = 250_000  # of the grace that questions are paced by: with less an agent would be asked without rest
 PUSHED_WAIT = 0.4  # of the grace, how long a watch of a local agent waits: what it gets counts as told at once
 PUSHED_LATE = 0.25  # of the grace, the patience with such an agent, and the pause after a failure
 
 
-class Question(NamedTuple):
-    whole: bool  # the whole list, and not what has changed since the version that is held
+class PollRequest(NamedTuple):
+    is_full: bool  # the whole list, and not what has changed since the version that is held
     wait_ms: int
-    patience_s: float
+    timeout_s: float
 
 
-class Pace:
+class PollSchedule:
     """What to ask next of one address; times are seconds from now."""
 
     def __init__(
@@ -41,35 +41,35 @@
         self.rng = rng
         self.place = place  # of this copy among all, in 0..1
         self.every_us = every_us  # how long a list may be gone by that nobody has asked for, by the settings
-        self.whole = False  # the address is new, or its versions are: it owes the whole list
+        self.needs_full_list = False  # the address is new, or its versions are: it owes the whole list
         self._checks = 0  # questions asked since a watch fell silent
         self._failures = 0  # in a row
 
-    def elsewhere(self) -> Pace:
+    def for_new_address(self) -> PollSchedule:
         """For another address, of which nothing is known yet."""
-        other = Pace(self.pushed, int(self.grace_s * 1e6), self.rng, self.place, self.every_us)
-        other.whole = True
+        other = PollSchedule(self.pushed, int(self.grace_s * 1e6), self.rng, self.place, self.every_us)
+        other.needs_full_list = True
         return other
 
-    def question(self) -> Question:
-        if self.whole:
-            return Question(True, 0, self._agent_s if self.pushed else WHOLE_S)
+    def next_poll(self) -> PollRequest:
+        if self.needs_full_list:
+            return PollRequest(True, 0, self._agent_s if self.pushed else WHOLE_S)
         if self.pushed:
             wait_s = 0.0 if self._failures else PUSHED_WAIT * self.grace_s
-            return Question(False, int(wait_s * 1000), wait_s + self._agent_s)
+            return PollRequest(False, int(wait_s * 1000), wait_s + self._agent_s)
         if self._checks:
-            return Question(False, 0, CHECK_S)
+            return PollRequest(False, 0, RECHECK_TIMEOUT_S)
         # A watch that fails at its end asked that long ago: less than four times what the settings give.
         least, most = (min(wait, part * self.every_us // 1000) for wait, part in zip(WAIT_MS, (1, 3), strict=True))
         wait_ms = int(least + self.place * (most - least))
-        return Question(False, wait_ms, wait_ms / 1000 + LATE_S)
+        return PollRequest(False, wait_ms, wait_ms / 1000 + LATE_S)
 
     @property
     def _agent_s(self) -> float:
         return PUSHED_LATE * self.grace_s
 
-    def answered(self) -> None:
-        self.whole = False
+    def succeeded(self) -> None:
+        self.needs_full_list = False
         self._checks = self._failures = 0
 
     def failed(self, silent: bool) -> float | None:
@@ -79,7 +79,7 @@
         the most, and then fall back to the module's back-off.
         """
         self._failures += 1
-        if self.whole or self.pushed:
+        if self.needs_full_list or self.pushed:
             first, most = (self._agent_s / 4, self._agent_s) if self.pushed else PAUSE_S
             return min(first * 2.0 ** min(self._failures - 1, 10), most) * self.rng.uniform(0.5, 1.5)
         if (silent or self._checks) and self._checks < CHECKS:
--- a/eiderhub/membership/joined.py
+++ b/eiderhub/membership/source_aggregator.py
@@ -8,17 +8,17 @@
 from typing import Any
 
 from eiderhub.interface import ListForm, Readiness
-from eiderhub.membership.listing import Listed
+from eiderhub.membership.endpoint_list import ListedEndpoint
 from eiderhub.membership.merger import Merger, Step, Terms
 from eiderhub.sidecar.clock import Alarm, now_us
 
 PLATFORM = "platform"
 SLICE = 200  # entries that are taken in without a look at what else there is to do: some 3 ms
-Deliver = Callable[[ListForm, list[Listed]], None]
+Deliver = Callable[[ListForm, list[ListedEndpoint]], None]
 log = logging.getLogger(__name__)
 
 
-class Joined:
+class SourceAggregator:
     """What sources tell goes in; what has changed in the one picture of them goes on, at once."""
 
     def __init__(self, others: Iterable[Terms], deliver: Deliver) -> None:
@@ -26,7 +26,7 @@
         self.deliver = deliver
         self._alarm: Alarm | None = None
 
-    def platform(self, form: ListForm, entries: list[Listed]) -> None:
+    def platform(self, form: ListForm, entries: list[ListedEndpoint]) -> None:
         """A list or a change of the platform's. The module learns of each answer, also of one without a change."""
         if form is ListForm.FAILED:
             self.deliver(form, entries)
@@ -36,7 +36,7 @@
         self._told(form, step, list(self.merger.picture.values()) if whole else step.changes)
         self._watch()
 
-    async def told(self, source: str, entries: list[Listed]) -> None:
+    async def told(self, source: str, entries: list[ListedEndpoint]) -> None:
         """All that another source lists now.
 
         In slices, for thousands of new entries would hold up every request. Rule 3: what is gone goes with the first
@@ -53,7 +53,7 @@
         if step.changes or step.notes:
             self._told(ListForm.DELTA, step, step.changes)
 
-    def _told(self, form: ListForm, step: Step, entries: list[Listed]) -> None:
+    def _told(self, form: ListForm, step: Step, entries: list[ListedEndpoint]) -> None:
         for note in step.notes:
             log.warning("sources disagree: %s", note)
         self.deliver(form, entries)
@@ -71,10 +71,12 @@
         self._watch()
 
 
-def join_consul(options: Any, host: Any) -> Any:
+def add_consul_source(options: Any, host: Any) -> Any:
     """Put Consul beside the platform's list, before a host that has not started yet; what is to be started then."""
     from eiderhub.membership.consul.client import Consul
 
-    joined = Joined([Terms(f"consul:{service}", options.caution_us) for service in options.services], host.on_list)
+    joined = SourceAggregator(
+        [Terms(f"consul:{service}", options.caution_us) for service in options.services], host.on_list
+    )
     host.heard = joined.platform
     return Consul(options, lambda service, entries: joined.told(f"consul:{service}", entries))
--- a/eiderhub/membership/doubt.py
+++ b/eiderhub/membership/watch_suspicion.py
@@ -12,28 +12,28 @@
 REST = 0.25  # of the time that the settings give for asking: the first pause after a question that found nothing new
 
 
-class Doubt:
+class WatchSuspicion:
     """Times are microseconds of one clock."""
 
     def __init__(self, place: float, copies: int, every_us: int) -> None:
-        self.turn_us = int(place * min(copies * TURN_US, MOST_TURNS_US))
+        self.delay_us = int(place * min(copies * TURN_US, MOST_TURNS_US))
         self.least_us, self.most_us = int(REST * every_us), every_us
         self._rest_us = self.least_us
         self._refusing: set[str] = set()
         self._not_before_us = 0
 
-    def refused(self, endpoint: str, now: int) -> bool:
+    def connection_refused(self, endpoint: str, now: int) -> bool:
         """A listed endpoint has refused a connection; whether discovery is to be asked once our turn has come."""
         if now < self._not_before_us:
             return False
         self._refusing.add(endpoint)
         return len(self._refusing) >= REFUSING
 
-    def dispelled(self) -> None:
+    def clear(self) -> None:
         """The watch has spoken, or ended: what refused before proves nothing of it."""
         self._refusing.clear()
 
-    def asked(self, now: int, news: bool) -> None:
+    def polled(self, now: int, news: bool) -> None:
         """Discovery may know no better for seconds: what found nothing is asked ever less often."""
         self._refusing.clear()
         self._rest_us = self.least_us if news else min(2 * self._rest_us, self.most_us)
--- a/eiderhub/sidecar/__main__.py
+++ b/eiderhub/sidecar/__main__.py
@@ -177,9 +177,11 @@
         listeners.append(await thrift_port(config, host, callers))
     consul = None
     if config.consul is not None:
-        from eiderhub.membership.joined import join_consul  # off where the operator's file says nothing of it
+        from eiderhub.membership.source_aggregator import (
+            add_consul_source,  # off where the operator's file says nothing of it
+        )
 
-        consul = join_consul(config.consul, host)
+        consul = add_consul_source(config.consul, host)
     fleet = None
     if config.fleet is not None:
         from eiderhub.fleet.node import join_fleet  # off where the operator's file says nothing of it
--- a/eiderhub/sidecar/config.py
+++ b/eiderhub/sidecar/config.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from eiderhub.interface import Settings
-from eiderhub.membership.listing import Listing, read_listing
+from eiderhub.membership.endpoint_list import EndpointList, read_endpoint_list
 from eiderhub.routing.plan import Plan
 from eiderhub.settings import settings_from
 from eiderhub.sidecar.bounds import Bounds
@@ -35,7 +35,7 @@
     discovery: Address | None  # None: the known list is all there is
     seed: int
     bounds: Bounds
-    known: Listing
+    known: EndpointList
     settings: Settings
     plan: Plan | None = None  # routes; None: the first part of the path is the class
     consul: Any = None  # the options of Consul as a source of endpoints, where the operator's file asks for it
@@ -103,7 +103,7 @@
     except ValueError as error:
         raise ConfigError(f"settings: {error}") from None
     try:
-        known = read_listing(document.get("known"))
+        known = read_endpoint_list(document.get("known"))
     except ValueError as error:
         raise ConfigError(f"known: {error}") from None
     return Config(
--- a/eiderhub/sidecar/discovery.py
+++ b/eiderhub/sidecar/discovery.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 
 from eiderhub.interface import ListForm
-from eiderhub.membership.asker import Asker
-from eiderhub.membership.doubt import Doubt
-from eiderhub.membership.listing import Listed, Listing, read_listing
-from eiderhub.membership.pace import CHECK_S, Pace, Question
+from eiderhub.membership.endpoint_list import EndpointList, ListedEndpoint, read_endpoint_list
+from eiderhub.membership.list_client import ListClient
+from eiderhub.membership.poll_schedule import RECHECK_TIMEOUT_S, PollRequest, PollSchedule
+from eiderhub.membership.watch_suspicion import WatchSuspicion
 from eiderhub.sidecar.clock import now_us
 
 MAX_LIST = 2 << 20  # bytes of a list: some 200 for each endpoint
@@ -28,9 +28,9 @@
         host: str,
         port: int,
         generation: int,
-        pace: Pace,
-        deliver: Callable[[ListForm, list[Listed]], None],
-        doubt: Doubt | None = None,
+        pace: PollSchedule,
+        deliver: Callable[[ListForm, list[ListedEndpoint]], None],
+        doubt: WatchSuspicion | None = None,
     ) -> None:
         self.host = host
         self.port = port
@@ -39,7 +39,7 @@
         self.deliver = deliver
         self.doubt = doubt
         self._task: asyncio.Task[None] | None = None
-        self._asker = Asker(MAX_LIST)
+        self._asker = ListClient(MAX_LIST)
         self._beside: asyncio.Task[None] | None = None  # the question of a doubt
 
     def turn(self, on: bool) -> None:
@@ -53,35 +53,35 @@
         if self._task is not None:
             self._task.cancel()
             self._task = None
-            self._asker.hang_up()  # its answer would come in for the next watch
+            self._asker.close_connection()  # its answer would come in for the next watch
 
     def refused(self, endpoint: str) -> None:
         """A listed endpoint has refused a connection."""
         doubt = self.doubt
-        if doubt is None or self._task is None or self._beside is not None or self.pace.whole:
+        if doubt is None or self._task is None or self._beside is not None or self.pace.needs_full_list:
             return
-        if doubt.refused(endpoint, now_us()):
+        if doubt.connection_refused(endpoint, now_us()):
             self._beside = asyncio.get_running_loop().create_task(self._ask_beside(doubt))
 
     def _end_doubt(self) -> None:
         if self.doubt is not None:
-            self.doubt.dispelled()
+            self.doubt.clear()
         if self._beside is not None:
             self._beside.cancel()
             self._beside = None
 
-    async def _ask_beside(self, doubt: Doubt) -> None:
+    async def _ask_beside(self, doubt: WatchSuspicion) -> None:
         """Wait for our turn, then ask on a connection of its own: a watch that is sound must not be lost for it."""
-        await asyncio.sleep(doubt.turn_us / 1e6)
-        asker, listing = Asker(MAX_LIST), None
+        await asyncio.sleep(doubt.delay_us / 1e6)
+        asker, listing = ListClient(MAX_LIST), None
         try:
-            listing = await self._put(asker, Question(False, 0, CHECK_S))
+            listing = await self._put(asker, PollRequest(False, 0, RECHECK_TIMEOUT_S))
         except Exception as error:  # the watch goes on, and knows by itself when it has failed
             log.warning("discovery, asked in doubt: %s: %s", type(error).__name__, error)
         finally:
-            asker.hang_up()
+            asker.close_connection()
         news = listing is not None and listing.generation > self.generation
-        doubt.asked(now_us(), news)
+        doubt.polled(now_us(), news)
         self._beside = None
         if listing is not None and news:
             log.info("discovery: the watch has missed version %d", listing.generation)
@@ -100,7 +100,7 @@
         log.info("discovery moves to %s:%d", host, port)
         self.turn(False)
         self.host, self.port = host, port
-        self.pace = self.pace.elsewhere()
+        self.pace = self.pace.for_new_address()
         self.turn(True)
 
     async def _run(self) -> None:
@@ -109,7 +109,7 @@
                 self._take(await self._ask())
             except Exception as error:  # whatever it is, the list must not stay as it is for good
                 log.warning("discovery: %s: %s", type(error).__name__, error)
-                self._asker.hang_up()
+                self._asker.close_connection()
                 pause_s = self.pace.failed(isinstance(error, TimeoutError))
                 if pause_s is None:
                     self._task = None
@@ -117,29 +117,29 @@
                     return
                 await asyncio.sleep(pause_s)
 
-    def _take(self, listing: Listing) -> None:
+    def _take(self, listing: EndpointList) -> None:
         # The watch has spoken: no doubt is left. Nor may changes that were asked for before come in once the whole
         # list is owed: they would be taken for it.
         self._end_doubt()
-        whole = listing.whole or self.pace.whole
+        whole = listing.is_full or self.pace.needs_full_list
         if not whole and listing.generation < self.generation:
             # Changes since a version that is not ours: what happened in between is told by the whole list alone.
             log.warning("discovery: version %d after %d", listing.generation, self.generation)
-            self.pace.whole = True
+            self.pace.needs_full_list = True
             return
         self.deliver(ListForm.FULL if whole else ListForm.DELTA, listing.entries)
         self.generation = listing.generation
-        self.pace.answered()
+        self.pace.succeeded()
 
-    async def _ask(self) -> Listing:
-        return await self._put(self._asker, self.pace.question())
+    async def _ask(self) -> EndpointList:
+        return await self._put(self._asker, self.pace.next_poll())
 
-    async def _put(self, asker: Asker, question: Question) -> Listing:
+    async def _put(self, asker: ListClient, question: PollRequest) -> EndpointList:
         path = "/discovery/hosts"
-        if not question.whole:
+        if not question.is_full:
             path = f"{path}?after={self.generation}&wait_ms={question.wait_ms}"
         request = f"GET {path} HTTP/1.1\r\nHost: {self.host}:{self.port}\r\n\r\n".encode()
-        response = await asker.ask(self.host, self.port, request, question.patience_s)
+        response = await asker.fetch(self.host, self.port, request, question.timeout_s)
         if response.status != 200:
             raise ValueError(f"answered {response.status}")
-        return read_listing(json.loads(response.body))
+        return read_endpoint_list(json.loads(response.body))
--- a/eiderhub/sidecar/host.py
+++ b/eiderhub/sidecar/host.py
@@ -15,9 +15,9 @@
 
 from eiderhub.balancer import Balancer
 from eiderhub.interface import Discovery, ListForm, Outcome, Readiness
-from eiderhub.membership.doubt import Doubt
-from eiderhub.membership.listing import Listed
-from eiderhub.membership.pace import LEAST_GRACE_US, Pace
+from eiderhub.membership.endpoint_list import ListedEndpoint
+from eiderhub.membership.poll_schedule import MIN_GRACE_US, PollSchedule
+from eiderhub.membership.watch_suspicion import WatchSuspicion
 from eiderhub.routing.plan import plain
 from eiderhub.sidecar.bounds import ANSWER_MARGIN_US, Budget
 from eiderhub.sidecar.clock import Alarm, now_us
@@ -94,9 +94,9 @@
             config.discovery.host,
             config.discovery.port,
             config.known.generation,
-            Pace(
+            PollSchedule(
                 self.settings.discovery is Discovery.PUSH,
-                max(self.settings.rules.drain_grace_us, LEAST_GRACE_US),
+                max(self.settings.rules.drain_grace_us, MIN_GRACE_US),
                 random.Random(config.seed),
                 self._place(),
                 self.settings.rules.ask_every_us,
@@ -105,12 +105,12 @@
             self._doubt(),
         )
 
-    def _doubt(self) -> Doubt | None:
+    def _doubt(self) -> WatchSuspicion | None:
         """What an agent has is asked for several times within the grace: nothing is gained by asking more."""
         s = self.settings
         if s.discovery is Discovery.PUSH:
             return None
-        return Doubt(self._place(), s.balancers * s.tiers, s.rules.ask_every_us)
+        return WatchSuspicion(self._place(), s.balancers * s.tiers, s.rules.ask_every_us)
 
     def _refused(self, endpoint: str) -> None:
         if self.watcher is not None:
@@ -335,7 +335,7 @@
 
     # --- discovery ---
 
-    def on_list(self, form: ListForm, entries: list[Listed]) -> None:
+    def on_list(self, form: ListForm, entries: list[ListedEndpoint]) -> None:
         """Rule 3: the pools learn first, so that nothing new leaves for what drains or is gone."""
         if form in (ListForm.FULL, ListForm.CACHED):
             for missing in self.upstream.pools.keys() - {entry.endpoint.id for entry in entries}:
--- a/standins/consul.py
+++ b/standins/consul.py
@@ -42,9 +42,9 @@
         self.index = 1
         self.services: dict[str, list[dict[str, Any]]] = {}
         self.token: str | None = None  # that questions must bear
-        self.script: list[bytes] = []  # whole answers, each given once and at once
-        self.questions: list[str] = []  # targets, in order
-        self.told_at: list[float] = []  # monotonic seconds: when the last byte of each answer was handed on
+        self.scripted: list[bytes] = []  # whole answers, each given once and at once
+        self.requests: list[str] = []  # targets, in order
+        self.answered_at: list[float] = []  # monotonic seconds: when the last byte of each answer was handed on
         self._changed = asyncio.Event()
 
     async def start(self) -> Consul:
@@ -56,9 +56,9 @@
         self.services[service] = list(rows)
         self._wake()
 
-    def say(self, *answers: bytes) -> None:
+    def respond_with(self, *answers: bytes) -> None:
         """Answer with these next, whatever is asked."""
-        self.script += answers
+        self.scripted += answers
         self._wake()
 
     def _wake(self) -> None:
@@ -66,9 +66,9 @@
         self._changed = asyncio.Event()
 
     async def reply(self, message: Message) -> bytes:
-        self.questions.append(message.target)
+        self.requests.append(message.target)
         told = await self._reply(message)
-        self.told_at.append(time.monotonic())
+        self.answered_at.append(time.monotonic())
         return told
 
     async def _reply(self, message: Message) -> bytes:
@@ -78,15 +78,15 @@
         query = parse_qs(target.query)
         service = unquote(target.path.rpartition("/")[2])
         wanted = int(query.get("index", ["0"])[0])
-        if not self.script and wanted >= self.index:
+        if not self.scripted and wanted >= self.index:
             changed = self._changed
             try:
                 async with asyncio.timeout(_seconds(query.get("wait", ["300s"])[0])):
                     await changed.wait()
             except TimeoutError:
                 pass
-        if self.script:
-            return self.script.pop(0)
+        if self.scripted:
+            return self.scripted.pop(0)
         return self.listed(service, catalogue="/catalog/" in target.path)
 
     def listed(self, service: str, index: int | None = None, *headers: str, catalogue: bool = False) -> bytes:
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -45,14 +45,14 @@
     endpoints = [await Endpoint(ledger, b, random.Random(i)).start() for i, b in enumerate(behaviours)]
     rows = [row(f"s-{i}", endpoint.address, cell=i // 3) for i, endpoint in enumerate(endpoints)]
     for entry in rows:
-        discovery.tell(entry)
+        discovery.update(entry)
     print(f"five endpoints (one slow, one that fails 60%), {RATE:g} requests a second for {seconds:g} s; half way one")
     print("endpoint drains")
     async with running(folder, {**document, "discovery": discovery.address}, operator) as (process, host, port):
         callers = Callers(host, port, "taller")
         load = asyncio.create_task(callers.run(KINDS, RATE, seconds))
         await asyncio.sleep(seconds / 2)
-        discovery.tell({**rows[4], "lifecycle": "draining"})
+        discovery.update({**rows[4], "lifecycle": "draining"})
         await asyncio.sleep(1.0)
         behaviours[4].draining = True
         await load
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -38,14 +38,14 @@
         self.generation = 1
         self.rows: dict[str, dict[str, Any]] = {}
         self.changes: list[tuple[int, dict[str, Any]]] = []
-        self.asked = 0  # questions
+        self.request_count = 0  # questions
         self._changed = asyncio.Event()
 
     async def start(self) -> Discovery:
         await self.listen()
         return self
 
-    def tell(self, entry: dict[str, Any]) -> None:
+    def update(self, entry: dict[str, Any]) -> None:
         """A change: an endpoint that is new, or that has another state."""
         self.generation += 1
         self.changes.append((self.generation, entry))
@@ -57,7 +57,7 @@
         self._changed = asyncio.Event()
 
     async def reply(self, message: Message) -> bytes:
-        self.asked += 1
+        self.request_count += 1
         return answer(200, await self._list(message.target))
 
     async def _list(self, target: str) -> bytes:
--- a/tests/config/serving.py
+++ b/tests/config/serving.py
@@ -87,14 +87,14 @@
     endpoint = await Endpoint(ledger, Behaviour(), random.Random(1)).start()
     discovery = await Discovery().start()
     for entry in rows_for(examined.config, endpoint.address):
-        discovery.tell(entry)
+        discovery.update(entry)
     told = {**document, "discovery": discovery.address}
     served: set[str] = set()
     late: set[str] = set()
     with tempfile.TemporaryDirectory() as folder:
         async with running(Path(folder), told, operator) as (_, host, port):
             async with asyncio.timeout(5):
-                while not discovery.asked:  # the list that the document knows may be old, and is asked about later
+                while not discovery.request_count:  # the known list may be old, and is polled for later
                     await asyncio.sleep(0.005)
             for way in list(ways(plan))[:MOST_WAYS]:
                 for _ in range(MOST_LATE + 1):
--- a/tests/conformance/worlds.py
+++ b/tests/conformance/worlds.py
@@ -10,7 +10,7 @@
 from typing import Any, Protocol
 
 from eiderhub.interface import ListForm
-from eiderhub.membership.listing import read_listing
+from eiderhub.membership.endpoint_list import read_endpoint_list
 from eiderhub.protocols.thrift.answers import LOAD_SHEDDING
 from eiderhub.protocols.thrift.plan import Options
 from eiderhub.protocols.thrift.wire import Encoding
@@ -104,7 +104,7 @@
         for i, state in enumerate(states):
             entry = row(f"s-{i}", self.sidecar.endpoints[i].address, state)
             rows.append({**entry, "startedAtMs": started_ms} if state == "ready" else entry)
-        listing = read_listing({"generation": 9, "reset": False, "instances": rows})
+        listing = read_endpoint_list({"generation": 9, "reset": False, "instances": rows})
         self.sidecar.host.on_list(ListForm.DELTA, listing.entries)
 
     async def _list_consul(self, states: Sequence[str], started_ms: int) -> None:
--- a/tests/membership/test_client.py
+++ b/tests/membership/test_client.py
@@ -18,8 +18,8 @@
 from eiderhub.membership.consul.client import Consul as Client
 from eiderhub.membership.consul.health import Meaning, read_health
 from eiderhub.membership.consul.query import Options
-from eiderhub.membership.joined import join_consul
-from eiderhub.membership.listing import Listed, read_listing
+from eiderhub.membership.endpoint_list import ListedEndpoint, read_endpoint_list
+from eiderhub.membership.source_aggregator import add_consul_source
 from standins.consul import Consul, instance
 from standins.http import answer
 from standins.program import running
@@ -34,9 +34,9 @@
 
 
 @asynccontextmanager
-async def asking(*agents: Consul, **changes: Any) -> AsyncIterator[asyncio.Queue[list[Listed]]]:
+async def asking(*agents: Consul, **changes: Any) -> AsyncIterator[asyncio.Queue[list[ListedEndpoint]]]:
     """A client on its own, and what it tells."""
-    told: asyncio.Queue[list[Listed]] = asyncio.Queue()
+    told: asyncio.Queue[list[ListedEndpoint]] = asyncio.Queue()
     client = Client(options(*agents, **changes), lambda _, entries: told.put(entries))
     client.start()
     try:
@@ -47,7 +47,7 @@
             agent.stop()
 
 
-def ports(entries: list[Listed]) -> list[int]:
+def ports(entries: list[ListedEndpoint]) -> list[int]:
     return sorted(entry.port for entry in entries)
 
 
@@ -60,8 +60,8 @@
             for port in (81, 82):
                 agent.set("web", instance("web", f"10.0.0.1:{port}"))
                 assert ports(await told.get()) == [port]
-            assert len(agent.questions) - len(agent.told_at) <= 1
-            assert "index=2" in agent.questions[1]
+            assert len(agent.requests) - len(agent.answered_at) <= 1
+            assert "index=2" in agent.requests[1]
 
     run(test())
 
@@ -87,9 +87,9 @@
             agent.set("web", instance("web", "10.0.0.1:80"))
         async with asking(first, second, most=65_536) as told:
             await told.get()
-            first.say(bad)
+            first.respond_with(bad)
             assert ports(await told.get()) == [80]
-            assert len(second.questions) >= 1 and "index" not in second.questions[0]
+            assert len(second.requests) >= 1 and "index" not in second.requests[0]
             assert told.empty()
 
     run(test())
@@ -101,10 +101,10 @@
         body = json.dumps([instance("web", "10.0.0.1:90")]).encode()
         async with asking(agent) as told:
             await told.get()
-            agent.say(answer(200, gzip.compress(body), "X-Consul-Index: 5", "Content-Encoding: gzip"))
+            agent.respond_with(answer(200, gzip.compress(body), "X-Consul-Index: 5", "Content-Encoding: gzip"))
             assert ports(await told.get()) == [90]
             chunks = b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in (body[:7], body[7:]))
-            agent.say(
+            agent.respond_with(
                 b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX-Consul-Index: 6\r\n\r\n" + chunks + b"0\r\n\r\n"
             )
             assert ports(await told.get()) == [90]
@@ -120,7 +120,7 @@
         agent.token = "right-secret"
         agent.set("web", instance("web", "10.0.0.1:80"))
         async with asking(agent, token_file=str(file)) as told:
-            while not agent.questions:
+            while not agent.requests:
                 await asyncio.sleep(0.01)
             file.unlink()  # gone for a while
             while "FileNotFoundError" not in caplog.text:
@@ -139,12 +139,12 @@
     async with Sidecar(endpoints) as world:
         rows = [instance("web", fake.address) for fake in world.endpoints]
         agent.set("web", *rows)
-        source = join_consul(options(agent), world.host)
+        source = add_consul_source(options(agent), world.host)
         known = [row(f"s-{i}", fake.address) for i, fake in enumerate(world.endpoints)]
-        listing = read_listing({"generation": 1, "reset": True, "instances": known})
+        listing = read_endpoint_list({"generation": 1, "reset": True, "instances": known})
         world.host.heard(ListForm.CACHED, listing.entries)  # as at the start, which is over here
         source.start()
-        while len(agent.questions) < 2:  # the first answer has been read
+        while len(agent.requests) < 2:  # the first answer has been read
             await asyncio.sleep(0.002)
         try:
             yield world, agent
@@ -168,7 +168,7 @@
             agent.set("web", *rows)
             while "s-0" in world.host.upstream.pools:
                 await asyncio.sleep(0.002)
-            assert time.monotonic() - agent.told_at[-1] < 0.5
+            assert time.monotonic() - agent.answered_at[-1] < 0.5
             client = await world.client()
             for _ in range(20):
                 client.send("look")
@@ -230,7 +230,7 @@
             (entry,) = await told.get()
             assert (entry.host, entry.port, entry.endpoint.readiness) == ("10.0.0.1", 80, Readiness.READY)
             assert (entry.endpoint.id, entry.endpoint.zone, entry.endpoint.cell) == ("n1/web-80", "b", 2)
-            assert agent.questions[0] == "/v1/catalog/service/web"
+            assert agent.requests[0] == "/v1/catalog/service/web"
             agent.set("web")
             assert await told.get() == []
 
@@ -245,7 +245,7 @@
             await told.get()
             for port in (81, 82):
                 rows = json.dumps([instance("web", f"10.0.0.1:{port}")]).encode()
-                agent.say(answer(200, rows, f"X-Consul-Index: {agent.index}"))
+                agent.respond_with(answer(200, rows, f"X-Consul-Index: {agent.index}"))
                 assert ports(await told.get()) == [port]
 
     run(test())
@@ -281,7 +281,7 @@
         async with joined(2) as (world, agent):
             first, second = world.endpoints
             rows = [row("s-0", first.address, "draining")]
-            listed = read_listing({"generation": 2, "reset": False, "instances": rows})
+            listed = read_endpoint_list({"generation": 2, "reset": False, "instances": rows})
             world.host.heard(ListForm.DELTA, listed.entries)
             client = await world.client()
             for silent in (False, True):
@@ -388,7 +388,7 @@
         document = {"name": "n0", "listen": "127.0.0.1:7070", "seed": "8c1f", "settings": SETUP}
         (tmp_path / "sidecar.json").write_text(json.dumps(document))
         assert await asyncio.to_thread(main, ["config", "check", str(tmp_path)]) == 0
-        assert not agent.questions
+        assert not agent.requests
         assert await asyncio.to_thread(main, ["config", "check", "--probe", str(tmp_path)]) == 1
         lines = [line for line in capsys.readouterr().out.splitlines() if line.startswith("probe")]
         assert lines == [
--- a/tests/membership/test_merger.py
+++ b/tests/membership/test_merger.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from eiderhub.interface import Endpoint, Readiness
-from eiderhub.membership.listing import Listed
+from eiderhub.membership.endpoint_list import ListedEndpoint
 from eiderhub.membership.merger import CAUTION, Merger, Terms
 
 READY, DRAINING, GONE = Readiness.READY, Readiness.DRAINING, Readiness.GONE
@@ -14,8 +14,8 @@
 TERMS = [Terms("platform", 30 * S), Terms("consul", 10 * S), Terms("static", 0)]
 
 
-def entry(name: str, port: int, word: Readiness = READY, started_us: int = 0, zone: str = "a") -> Listed:
-    return Listed(Endpoint(name, zone, "m", -1, word, 1.0, started_us), "10.0.0.1", port)
+def entry(name: str, port: int, word: Readiness = READY, started_us: int = 0, zone: str = "a") -> ListedEndpoint:
+    return ListedEndpoint(Endpoint(name, zone, "m", -1, word, 1.0, started_us), "10.0.0.1", port)
 
 
 def state(merger: Merger, port: int) -> Readiness | None:
@@ -39,7 +39,7 @@
     merger = Merger(TERMS)
     said: dict[str, dict[int, Readiness]] = {terms.name: {} for terms in TERMS}
     heard = dict.fromkeys(said, 0)
-    held: dict[str, Listed] = {}  # what a host that hears the changes alone believes
+    held: dict[str, ListedEndpoint] = {}  # what a host that hears the changes alone believes
     now = 0
     for source, after, whole, told in history:
         now += after
@@ -124,7 +124,7 @@
 
 
 def test_an_endpoint_keeps_all_its_tags_and_services_and_facts_are_the_first_ones() -> None:
-    def labelled(name: str, *labels: str) -> Listed:
+    def labelled(name: str, *labels: str) -> ListedEndpoint:
         found = entry(name, 80)
         return found._replace(endpoint=found.endpoint._replace(labels=frozenset(labels)))
 
--- a/tests/membership/test_standin.py
+++ b/tests/membership/test_standin.py
@@ -30,7 +30,7 @@
         _, flat = await asyncio.to_thread(client.catalog.service, "web")
         assert (flat[0]["ServiceAddress"], flat[0]["ServicePort"]) == ("10.0.0.1", 80)
         waiting = asyncio.create_task(asyncio.to_thread(read, int(index)))
-        while len(agent.questions) < 3:
+        while len(agent.requests) < 3:
             await asyncio.sleep(0.005)
         assert not waiting.done()
         agent.set("web")
--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -16,8 +16,8 @@
 import uvloop
 
 from eiderhub.membership.consul.query import Options as ConsulOptions
-from eiderhub.membership.joined import join_consul
-from eiderhub.membership.listing import read_listing
+from eiderhub.membership.endpoint_list import read_endpoint_list
+from eiderhub.membership.source_aggregator import add_consul_source
 from eiderhub.protocols.http1.server import Server
 from eiderhub.protocols.thrift import server as thrift_server
 from eiderhub.protocols.thrift.plan import Options
@@ -205,7 +205,7 @@
             discovery=None if self.consul else Address(host, int(port)),
             seed=7,
             bounds=self.bounds,
-            known=read_listing(json.loads(listing(1, True, *([] if self.consul else rows)))),
+            known=read_endpoint_list(json.loads(listing(1, True, *([] if self.consul else rows)))),
             settings=settings_from(self.setup),
             plan=self.plan,
         )
@@ -224,7 +224,7 @@
             await self.consul.start()
             self.consul.set("web", *[instance("web", fake.address) for fake in self.endpoints])
             at, _, number = self.consul.address.rpartition(":")
-            source = join_consul(ConsulOptions(((at, int(number)),), ("web",)), self.host)
+            source = add_consul_source(ConsulOptions(((at, int(number)),), ("web",)), self.host)
         self.host.start()
         if source is not None:
             source.start()
@@ -240,7 +240,7 @@
     async def heard_consul(self) -> None:
         """Until all that Consul says now has been read."""
         assert self.consul is not None
-        while not self.consul.questions or f"index={self.consul.index}&" not in self.consul.questions[-1]:
+        while not self.consul.requests or f"index={self.consul.index}&" not in self.consul.requests[-1]:
             await asyncio.sleep(0.002)
 
     async def __aexit__(self, *_: object) -> None:
--- a/tests/test_crossing.py
+++ b/tests/test_crossing.py
@@ -11,7 +11,7 @@
 import pytest
 
 from eiderhub.interface import ListForm, Outcome
-from eiderhub.membership.listing import read_listing
+from eiderhub.membership.endpoint_list import read_endpoint_list
 from eiderhub.protocols.http1.client import HTTP1, SETTLE_US, Connection
 from eiderhub.sidecar.bounds import Budget
 from eiderhub.sidecar.upstream import Attempt, Upstream
@@ -22,7 +22,7 @@
 
 def listed_at(sidecar: Sidecar, address: str, started_ms: int = 0) -> None:
     """Discovery tells where the only endpoint is."""
-    told = read_listing(json.loads(listing(2, True, row("s-0", address, started_ms=started_ms))))
+    told = read_endpoint_list(json.loads(listing(2, True, row("s-0", address, started_ms=started_ms))))
     sidecar.host.on_list(ListForm.FULL, told.entries)
 
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -9,7 +9,7 @@
 import pytest
 
 from eiderhub.interface import ListForm
-from eiderhub.membership.listing import read_listing
+from eiderhub.membership.endpoint_list import read_endpoint_list
 from eiderhub.protocols.http1.client import Connection
 from eiderhub.protocols.http1.server import CallerConnection
 from eiderhub.sidecar.clock import Alarm
@@ -80,7 +80,7 @@
                 rows = [row(f"s-{i + 1}", address)]
                 if form is ListForm.DELTA:
                     rows += [row(f"s-{i}", address, "draining"), row(f"s-{i}", address, "gone")]
-                listing = read_listing({"generation": i, "reset": False, "instances": rows})
+                listing = read_endpoint_list({"generation": i, "reset": False, "instances": rows})
                 sidecar.host.on_list(form, listing.entries)
             assert list(sidecar.host.upstream.pools) == ["s-50"]
             assert list(sidecar.host.balancer.endpoints) == ["s-50"]
@@ -98,7 +98,7 @@
             old_client.send()
             old = await fake.next()
             rows = [row("s-0", fake.address, "gone"), row("s-1", fake.address)]
-            listing = read_listing({"generation": 2, "reset": False, "instances": rows})
+            listing = read_endpoint_list({"generation": 2, "reset": False, "instances": rows})
             sidecar.host.on_list(ListForm.DELTA, listing.entries)
             balancer = sidecar.host.balancer
             assert set(balancer.endpoints) == {"s-0", "s-1"}  # one has something out
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -14,7 +14,7 @@
 import pytest
 
 from eiderhub.interface import ListForm, Readiness
-from eiderhub.membership.listing import read_listing
+from eiderhub.membership.endpoint_list import read_endpoint_list
 from eiderhub.protocols.http1.client import Exchange, Response
 from eiderhub.protocols.http1.server import FAILURES
 from eiderhub.sidecar import __main__ as entry
@@ -286,7 +286,7 @@
         async with Sidecar() as sidecar:
             caller = Answers()
             sidecar.host.take(direct(caller))
-            listed = read_listing(json.loads(listing(2, False, row("s-0", "127.0.0.1:1", "draining"))))
+            listed = read_endpoint_list(json.loads(listing(2, False, row("s-0", "127.0.0.1:1", "draining"))))
             sidecar.host.on_list(ListForm.DELTA, listed.entries)
             assert await caller.all.get() == 503
             assert sidecar.endpoints[0].asked.empty()
@@ -297,12 +297,12 @@
 def test_start_of_an_endpoint_is_told_on_the_monotonic_clock() -> None:
     started_ms = time.time_ns() // 1_000_000 - 2000
     document = json.loads(listing(1, True, row("s-0", "127.0.0.1:80", started_ms=started_ms)))
-    first, second = (read_listing(document).entries[0].endpoint for _ in range(2))
+    first, second = (read_endpoint_list(document).entries[0].endpoint for _ in range(2))
     assert first.launched_us == second.launched_us  # a change would look like another restart
     assert abs(now_us() - first.launched_us - 2_000_000) < 1_000_000
     assert first.readiness is Readiness.READY
     long_ago = json.loads(listing(1, True, row("s-0", "127.0.0.1:80")))
-    assert read_listing(long_ago).entries[0].endpoint.launched_us == 0
+    assert read_endpoint_list(long_ago).entries[0].endpoint.launched_us == 0
 
 
 def test_alarms_never_ring_early() -> None:
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from eiderhub.membership import pace
-from eiderhub.membership.doubt import Doubt
+from eiderhub.membership import poll_schedule
+from eiderhub.membership.watch_suspicion import WatchSuspicion
 from tests.sidecar_support import Asked, Fake, Sidecar, all_go_to, listing, row, run
 
 LIST = listing(2, False)
@@ -29,7 +29,7 @@
     how: str, pushed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Seen on calm+brink: it was given up with its news already told, and then waited for the module's back-off."""
-    monkeypatch.setattr(pace, "WAIT_MS", (200, 200))
+    monkeypatch.setattr(poll_schedule, "WAIT_MS", (200, 200))
 
     async def test() -> None:
         async with Sidecar(endpoints=2, Discovery="push" if pushed else "ask") as sidecar:
@@ -49,7 +49,7 @@
 
 
 def test_drips_do_not_keep_a_silent_watch_open(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pace, "WAIT_MS", (100, 100))
+    monkeypatch.setattr(poll_schedule, "WAIT_MS", (100, 100))
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -97,7 +97,7 @@
 
 
 def test_a_new_address_that_is_silent_as_well_is_asked_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pace, "WHOLE_S", 0.1)
+    monkeypatch.setattr(poll_schedule, "WHOLE_S", 0.1)
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -176,7 +176,7 @@
             watch = await sidecar.discovery.next()
             watcher = sidecar.watcher
             assert watcher.doubt is not None
-            watcher.doubt.turn_us = 60_000_000
+            watcher.doubt.delay_us = 60_000_000
             await both_refuse(sidecar)
             waits = watcher._beside
             assert waits is not None
@@ -258,23 +258,23 @@
 
 
 def test_one_endpoint_that_refuses_raises_no_doubt() -> None:
-    doubt = Doubt(0.0, 4, 10_000_000)
-    assert [doubt.refused("a", at) for at in range(3)] == [False] * 3
-    assert doubt.refused("b", 3)
-    doubt.dispelled()
-    assert not doubt.refused("a", 4)
+    doubt = WatchSuspicion(0.0, 4, 10_000_000)
+    assert [doubt.connection_refused("a", at) for at in range(3)] == [False] * 3
+    assert doubt.connection_refused("b", 3)
+    doubt.clear()
+    assert not doubt.connection_refused("a", 4)
 
 
 def test_doubts_that_find_nothing_are_ever_rarer_and_copies_take_turns() -> None:
-    doubt, now, pauses = Doubt(0.5, 200, 10_000_000), 0, []
-    assert doubt.turn_us == 2_000_000
+    doubt, now, pauses = WatchSuspicion(0.5, 200, 10_000_000), 0, []
+    assert doubt.delay_us == 2_000_000
     for _ in range(4):
-        doubt.asked(now, news=False)
+        doubt.polled(now, news=False)
         begun = now
-        while not (doubt.refused("a", now) | doubt.refused("b", now)):
+        while not (doubt.connection_refused("a", now) | doubt.connection_refused("b", now)):
             now += 100_000
         pauses.append(now - begun)
     assert pauses == [5_000_000, 10_000_000, 10_000_000, 10_000_000]
-    doubt.asked(now, news=True)
-    assert not doubt.refused("a", now + 2_400_000) | doubt.refused("b", now + 2_400_000)
-    assert doubt.refused("a", now + 2_500_000) | doubt.refused("b", now + 2_500_000)
+    doubt.polled(now, news=True)
+    assert not doubt.connection_refused("a", now + 2_400_000) | doubt.connection_refused("b", now + 2_400_000)
+    assert doubt.connection_refused("a", now + 2_500_000) | doubt.connection_refused("b", now + 2_500_000)
