--- a/eiderhub/balancer.py
+++ b/eiderhub/balancer.py
@@ -30,7 +30,7 @@
     RequestClass,
     Settings,
 )
-from eiderhub.policy.pull import Pull, usual
+from eiderhub.policy.load_weight import LoadWeight, mean_busy
 
 # --- request units and buckets ---
 BASE_COST_RU = 1.0  # RU a call costs before anything is known of it
@@ -144,8 +144,8 @@
 COPY_RISE = 3.0  # a second copy goes out when the first has taken this many usual (median) latencies
 RETRY_SHARE = 0.1  # retries and second copies allowed for each first attempt
 RETRY_BURST = 5.0  # and this many more
-MAX_TRIES = 3  # attempts from the first tier
-MAX_TRIES_INSIDE = 2  # from inner ones: layers that retry each other multiply
+MAX_ATTEMPTS = 3  # attempts from the first tier
+MAX_ATTEMPTS_INNER = 2  # from inner ones: layers that retry each other multiply
 RETRY_AFTER_SHARE = 0.5  # a refused client is told to wait this share of what it obeys, or up to twice it
 ASK_SPREAD_US = 5_000  # for each copy, over how long all of them ask first: discovery takes them one by one
 ASK_SPREAD_MAX_US = 1_000_000  # the list that a copy starts with may be old
@@ -191,14 +191,14 @@
     """Tenants' budgets in RU, refilled each window from what was served in the last."""
 
     class Bucket:
-        __slots__ = ("got", "got_per_s", "heard", "quota", "refill", "share", "tokens")
+        __slots__ = ("got", "got_per_s", "last_seen_at", "quota", "refill", "share", "tokens")
 
         def __init__(self, share: float, quota: float) -> None:
             self.share = share
             self.quota = quota  # requests a second at this copy
             self.refill = quota * BASE_COST_RU * (1 + HEADROOM)  # RU a second
             self.tokens = self.depth()
-            self.heard = -ACTIVE_US
+            self.last_seen_at = -ACTIVE_US
             self.got = 0.0  # RU served in this window, within its share or not
             self.got_per_s = 0.0  # smoothed
 
@@ -216,13 +216,13 @@
         self.served_per_s = 0.0  # smoothed
         self.mean_cost = BASE_COST_RU
 
-    def find(self, tenant: str) -> Bucket:
+    def bucket_for(self, tenant: str) -> Bucket:
         bucket = self.buckets.get(tenant)
         if bucket is None:
             bucket = self.buckets[tenant] = self.Bucket(1.0, FLOOR_PER_S)
         return bucket
 
-    def bill(self, bucket: Bucket, price: float, paid: float, latency_us: int, ok: bool) -> None:
+    def charge(self, bucket: Bucket, price: float, paid: float, latency_us: int, ok: bool) -> None:
         """Charge the latency of an attempt that has ended; `paid` of its price was charged on arrival."""
         extra = LATENCY_RU_PER_US * latency_us
         if paid:
@@ -244,7 +244,7 @@
             for b in self.buckets.values():
                 b.got_per_s += SERVED_SMOOTHING * (b.got * 1e6 / REFILL_WINDOW_US - b.got_per_s)
                 b.got = 0.0
-        active = [b for b in self.buckets.values() if now - b.heard < ACTIVE_US]
+        active = [b for b in self.buckets.values() if now - b.last_seen_at < ACTIVE_US]
         shares, hot = sum(b.share for b in active), self._hot(active)
         for b in self.buckets.values():
             split = self.served_per_s * b.share / shares if shares else 0.0
@@ -336,7 +336,7 @@
     """
 
     def __init__(self, layer: int) -> None:
-        self.each = START_CALLS  # calls that an endpoint is taken to bear, from all copies together
+        self.endpoint_cap = START_CALLS  # calls that an endpoint is taken to bear, from all copies together
         self.listed = 0.0  # this copy's part of the endpoints: it bounds the sum over all copies
         self.fair = 0.0  # the same, as the cap counts it: it follows a list that shrinks by and by
         self.open = 1.0  # the part of their capacity that is in use
@@ -345,7 +345,7 @@
         self.in_flight = 0
         self.dither = 0.0
         self.next_dither = 0
-        self.median = self.base = 0.0
+        self.median_latency = self.base = 0.0
         self.most = TARGET_SHARE / (layer + 1)
         self.normal = NORMAL_SHARE / (layer + 1)
         self.round = Histogram()
@@ -361,8 +361,8 @@
         Danger: a cap learned with all endpoints falls on the few left, or on cold ones, and jams those too.
         While a part is out, retries and returning endpoints crowd the rest, which bear less than was learned.
         """
-        learned = max(0.0, self.each - START_CALLS) * max(0.0, 1.0 - SHY * (1.0 - self.warm))
-        each = min(self.each, START_CALLS + learned)
+        learned = max(0.0, self.endpoint_cap - START_CALLS) * max(0.0, 1.0 - SHY * (1.0 - self.warm))
+        each = min(self.endpoint_cap, START_CALLS + learned)
         return max(MIN_CAP, min(each * self.fair, max(each, SURE_CALLS) * self.listed) * self.open)
 
     def size(self, fair: float) -> None:
@@ -375,7 +375,7 @@
         self.listed = fair
         self.fair = max(fair, self.fair)
 
-    def room(self, scarcity: float) -> float:
+    def max_in_flight(self, scarcity: float) -> float:
         """The calls that may be out at one moment, while the cap bounds their mean.
 
         Danger: a quiet inner copy has a cap of a call or two, which chance alone passes all the time: it
@@ -407,23 +407,26 @@
 
     def _close(self, now: int, cap: float) -> None:
         median = self.round.above(0.5)
-        self.median += (BASE_WEIGHT if self.median else 1.0) * (median - self.median)
+        self.median_latency += (BASE_WEIGHT if self.median_latency else 1.0) * (median - self.median_latency)
         # Danger: where each round drifts, a busy day is learned as its uncrowded state; the cap climbs with
         # it for minutes, until a burst jams all endpoints. Covers any lasting overload. Where endpoints slow
         # down for good, that is learned late: once the cap has fallen to what they surely bear.
-        drift = 1.0 if self.bound and self.each > SURE_CALLS else BASE_DRIFT
+        drift = 1.0 if self.bound and self.endpoint_cap > SURE_CALLS else BASE_DRIFT
         # Guards against a start amid overload: what was always slow is not taken for the uncrowded state.
-        self.base = min(self.base * drift if self.base else self.normal, self.median)
+        self.base = min(self.base * drift if self.base else self.normal, self.median_latency)
         target = max(TARGET_LEAST_RISE * self.base, min(TARGET_RISE * self.base, self.most))
         fill = 1.0 if self.busy is None else self.busy / FULL_CORES
         if fill < ROOMY:  # slow is what lies behind them, of which more calls wait without harm
             target = max(target, self.normal)
         self.slack = min(1.0, max(0.0, TARGET_RISE * (1.0 - median / target)))
         if median > target or fill > 1.0:
-            self.each = max(FLOOR_CALLS, self.each * max(DEEPEST_CUT, min(target / median, 1 / fill)))
+            self.endpoint_cap = max(
+                FLOOR_CALLS,
+                self.endpoint_cap * max(DEEPEST_CUT, min(target / median, 1 / fill)),
+            )
             self.changed = now
-        elif self._tried() and (self.each < SURE_CALLS or now >= self.grown + GROW_EVERY_US):
-            self.each += max(GROW_CALLS * self.each / cap, GROW_SHARE * self.each)
+        elif self._tried() and (self.endpoint_cap < SURE_CALLS or now >= self.grown + GROW_EVERY_US):
+            self.endpoint_cap += max(GROW_CALLS * self.endpoint_cap / cap, GROW_SHARE * self.endpoint_cap)
             self.grown = now
         self.round, self.bound = Histogram(), 0
 
@@ -433,7 +436,7 @@
         Guards against bursts, and against what a few endpoints bear a while in place of others: calls that
         met a cap far off, or a part of it, say nothing of the whole.
         """
-        part = BOUND_PART if self.each > SURE_CALLS else SURE_PART
+        part = BOUND_PART if self.endpoint_cap > SURE_CALLS else SURE_PART
         return self.open == 1.0 and self.bound > part * self.round.total
 
 
@@ -490,9 +493,9 @@
     """What this instance knows of one endpoint: its listing, own calls, health and slow start."""
 
     __slots__ = (
-        "cell", "credit", "credit_at", "declines", "ejected_until", "ejections", "failed_at", "failing",
-        "heard", "id", "in_flight", "kind", "labels", "launched", "listed", "order", "peak", "peak_at",
-        "pull", "ready", "slow", "unreachable", "used", "weight", "zone",
+        "cell", "cold_tokens", "cold_tokens_at", "declines", "ejected_until", "ejections", "failed_at",
+        "failing", "id", "in_flight", "is_ready", "kind", "labels", "launched", "listed", "load_weight",
+        "order", "peak", "peak_at", "peer_factor", "slow", "unreachable", "used", "weight", "zone",
     )  # fmt: skip
 
     def __init__(self, entry: Endpoint, now: int) -> None:
@@ -501,12 +504,12 @@
         self.in_flight = self.failed_at = 0
         self.failing = 0.0
         self.slow = 0.0  # mean latency over that of the peers; 0 unknown
-        self.pull = Pull()
-        self.heard = 1.0  # the part that others' evidence leaves it
+        self.load_weight = LoadWeight()
+        self.peer_factor = 1.0  # the part that others' evidence leaves it
         self.unreachable = False  # the last call found nobody there; a spoilt answer may be a sound one's
         self.declines = 0  # calls turned away in a row
-        self.credit = -1.0  # sends that it may have while cold; below 0: not begun
-        self.credit_at = 0
+        self.cold_tokens = -1.0  # sends that it may have while cold; below 0: not begun
+        self.cold_tokens_at = 0
         self.used = 0  # when a connection to it was last in use; 0: never
         self.peak = self.peak_at = 0  # most calls in flight lately, and when: so many connections are open
         self.ejected_until = self.ejections = self.launched = 0
@@ -515,15 +518,15 @@
     def take(self, entry: Endpoint, now: int) -> None:
         self.zone, self.kind, self.cell, self.weight = entry.zone, entry.kind, entry.cell, entry.weight
         self.labels = entry.labels
-        self.ready = entry.readiness is Readiness.READY
+        self.is_ready = entry.readiness is Readiness.READY
         # What drains may be back in a moment, as where a check flaps: it is known until it is gone.
         self.listed = entry.readiness is not Readiness.GONE
         if entry.launched_us != self.launched:  # a new process under a known id: what we knew is void
             self.launched = entry.launched_us
-            self.credit, self.credit_at = -1.0, now
+            self.cold_tokens, self.cold_tokens_at = -1.0, now
             self.failing = self.slow = 0.0
             self.ejected_until = self.ejections = 0
-            self.pull, self.heard = Pull(), 1.0
+            self.load_weight, self.peer_factor = LoadWeight(), 1.0
 
 
 class Subset:
@@ -566,8 +569,8 @@
     """One request that this instance owes an answer for, or has attempts out for."""
 
     __slots__ = (
-        "answered", "arrived", "attempts", "bucket", "due", "first_run", "grade", "held_until", "id", "level",
-        "outstanding", "paid", "price",
+        "answered", "arrived", "attempts", "bucket", "due", "first_run", "held_until", "id", "level",
+        "outstanding", "paid", "price", "request_class",
     )  # fmt: skip
 
     def __init__(
@@ -579,7 +582,7 @@
         bucket: TokenBuckets.Bucket,
     ) -> None:
         self.id = call
-        self.grade = grade
+        self.request_class = grade
         self.arrived = now
         self.due = due  # until when an answer is worth something: the end of the try, or the aim before it
         self.attempts: list[tuple[EndpointState, int, Pool, int]] = []
@@ -632,7 +635,7 @@
         """Follow how long the sojourn has stood above its target."""
         for level in range(len(self.levels)):
             call = self.head(level)
-            if call is not None and now - call.arrived > SOJOURN_SHARE * call.grade.aim_us:
+            if call is not None and now - call.arrived > SOJOURN_SHARE * call.request_class.aim_us:
                 if self.long_since < 0:
                     self.long_since = now
                 return
@@ -659,7 +662,7 @@
         self.sent = 0
 
 
-class Placement:
+class CandidateSet:
     """The endpoints that the classes of one constraint may use: a pool in this zone and one in the others.
 
     Rule 5: subsets are drawn from the allowed endpoints alone, and every send draws from such a subset.
@@ -725,15 +728,15 @@
         self.idle = IdleConnections(s.limits.conn_idle_us)
         self.classes: dict[str, RequestClass] = {}
         self.tries: dict[str, TryTime] = {}
-        self.placement: dict[str, Placement] = {}
+        self.candidates: dict[str, CandidateSet] = {}
         self._use(s.classes)
         self.ejected: list[EndpointState] = []
-        self.ready = 0
+        self.ready_count = 0
         self.fleet_failing = self.fleet_latency = 0.0
         self.scarcity = 0.0  # share of late arrivals within their share that found no room at once
         self.sweep_at = -1
-        self.copies: deque[tuple[int, Call]] = deque()  # when a second copy of the call falls due
-        self.ask_wait = ASK_BACKOFF_US
+        self.pending_hedges: deque[tuple[int, Call]] = deque()  # when a second copy of the call falls due
+        self.poll_backoff_us = ASK_BACKOFF_US
         self.asking = False
         if s.discovery is Discovery.ASK:
             # Guards against hundreds that start together: half of them would be turned away, and ask again.
@@ -746,14 +749,14 @@
 
     def _use(self, classes: Sequence[RequestClass]) -> None:
         """Know these classes and no others; what was learned for the endpoints of one constraint is kept."""
-        known = {p.constraint: p for p in self.placement.values()}
+        known = {p.constraint: p for p in self.candidates.values()}
         self.classes = {c.name: c for c in classes}
         self.tries = {c.name: self.tries.get(c.name) or TryTime() for c in classes}
-        self.placement = {}
+        self.candidates = {}
         for c in classes:
-            new = Placement(c, self.settings.layer)
-            self.placement[c.name] = known.setdefault(new.constraint, new)
-        self.placements = list(dict.fromkeys(self.placement.values()))
+            new = CandidateSet(c, self.settings.layer)
+            self.candidates[c.name] = known.setdefault(new.constraint, new)
+        self.candidate_sets = list(dict.fromkeys(self.candidates.values()))
         self.level.update(
             ((c.name, over), self.level[c.variant_of, over])
             for c in classes
@@ -763,7 +766,7 @@
 
     def adopt(self, now_us: int, classes: Sequence[RequestClass]) -> None:
         """Variants come and go while calls are out: those still in use stay until a later change."""
-        in_use = {c.grade.name: c.grade for c in self.calls.values()}
+        in_use = {c.request_class.name: c.request_class for c in self.calls.values()}
         whole = [c for c in self.classes.values() if not c.variant_of]
         variants = {c.name: c for c in (*in_use.values(), *classes) if c.variant_of}
         self._use([*whole, *variants.values()])
@@ -776,17 +779,19 @@
             if self.settings.discovery is Discovery.ASK and not self.asking:
                 # Guards against all copies asking again in step after discovery has turned them away.
                 self.asking = True
-                self.actions.timer(int(self.ask_wait * (0.5 + self.random.random())), ASK)
+                self.actions.timer(int(self.poll_backoff_us * (0.5 + self.random.random())), ASK)
                 # Rule 3: four times that long after a failed call its list counts as told anew.
-                self.ask_wait = min(2 * self.ask_wait, ASK_BACKOFF_MAX_US, self.settings.rules.ask_every_us)
+                self.poll_backoff_us = min(
+                    2 * self.poll_backoff_us, ASK_BACKOFF_MAX_US, self.settings.rules.ask_every_us
+                )
             return
         if form is not ListForm.CACHED:
-            self.ask_wait = ASK_BACKOFF_US
+            self.poll_backoff_us = ASK_BACKOFF_US
         if form is not ListForm.DELTA:
             listed = {e.id for e in entries}
             for known in self.endpoints.values():
                 if known.id not in listed:
-                    known.ready = known.listed = False
+                    known.is_ready = known.listed = False
         for entry in entries:
             state = self.endpoints.get(entry.id)
             if state is None:
@@ -802,9 +807,9 @@
 
     def _fill_pools(self) -> None:
         s = self.settings
-        ready = [e for e in self.endpoints.values() if e.ready]
-        self.ready = len(ready)
-        for placement in self.placements:
+        ready = [e for e in self.endpoints.values() if e.is_ready]
+        self.ready_count = len(ready)
+        for placement in self.candidate_sets:
             allowed = [e for e in ready if placement.allows(e)]
             near = [e for e in allowed if e.zone == s.zone]
             far = [e for e in allowed if e.zone != s.zone]
@@ -820,7 +825,7 @@
             ):
                 pool.limit.size(part)
                 pool.counted_at = 0
-                size = max(SUBSET_MIN, int(SUBSET_PER_CALL * pool.limit.each * pool.limit.fair))
+                size = max(SUBSET_MIN, int(SUBSET_PER_CALL * pool.limit.endpoint_cap * pool.limit.fair))
                 pool.subset.fill(members, s.rank, s.balancers, size)
         self._recount()
 
@@ -829,20 +834,20 @@
 
         Danger: classes free to go anywhere crowd the few endpoints of a bound class while others have room.
         """
-        for placement in self.placements:
+        for placement in self.candidate_sets:
             for pool in placement.pools:
                 pool.turn()
-                pool.limit.busy = usual([e.pull for e in pool.subset.members])
-        if len(self.placements) < 2:
+                pool.limit.busy = mean_busy([e.load_weight for e in pool.subset.members])
+        if len(self.candidate_sets) < 2:
             return
-        level = sum(p.sent for p in self.placements) / max(1, *(p.size for p in self.placements))
-        for wide in self.placements:
+        level = sum(p.sent for p in self.candidate_sets) / max(1, *(p.size for p in self.candidate_sets))
+        for wide in self.candidate_sets:
             wide.spare = {}
-            for narrow in self.placements:
+            for narrow in self.candidate_sets:
                 if level and 0 < narrow.size < wide.size:
                     left = max(LEAST_SPARE, 1.0 - narrow.sent / narrow.size / level)
                     wide.spare.update((e.id, left) for e in self.endpoints.values() if narrow.allows(e))
-        for p in self.placements:
+        for p in self.candidate_sets:
             p.sent *= SENT_DECAY
 
     def wake(self, now_us: int, mark: str) -> None:
@@ -866,9 +871,9 @@
         if now_us >= buckets.next_refill:
             buckets.refill(now_us)
             self._share_out()
-        bucket = buckets.find(tenant or "")
+        bucket = buckets.bucket_for(tenant or "")
         new = self.calls[call] = Call(call, self.classes[grade], now_us, now_us + expires_in_us, bucket)
-        bucket.heard = now_us
+        bucket.last_seen_at = now_us
         stress = self.ratio.stress()
         worth = self.worth[self.level[grade, False]]
         price = BASE_COST_RU + HINT_RU_PER_US * (hint_us or 0)
@@ -877,15 +882,19 @@
         # Danger: where the settings name no tenants all calls are of one, with nobody's share to pass.
         over = bucket.tokens < inflated and bool(self.settings.tenants)
         new.level = self.level[grade, over]
-        age = self.tries[grade].age(expires_in_us, new.grade.deadline_us) if not self.settings.layer else 0
+        age = (
+            self.tries[grade].age(expires_in_us, new.request_class.deadline_us)
+            if not self.settings.layer
+            else 0
+        )  # fmt: skip
         if expires_in_us <= 0:
             self._refuse(new)
             return
-        if not new.grade.late_share:
+        if not new.request_class.late_share:
             # Guards against repeats that can no longer be worth anything.
-            usual = self.placement[grade].local.limit.median * HOPELESS
-            new.due = min(new.due, now_us + new.grade.aim_us - age)
-            if new.due - now_us <= new.grade.aim_us * usual:
+            usual = self.candidates[grade].local.limit.median_latency * HOPELESS
+            new.due = min(new.due, now_us + new.request_class.aim_us - age)
+            if new.due - now_us <= new.request_class.aim_us * usual:
                 self._refuse(new)
                 return
         low = self.worth[new.level] < LOW_WORTH
@@ -911,7 +920,7 @@
 
     def _hold(self, now: int, call: Call) -> None:
         share = HOLD_SHARE_INSIDE if self.settings.layer else HOLD_SHARE
-        until = min(now + int(share * call.grade.aim_us), call.due - ANSWER_MARGIN_US)
+        until = min(now + int(share * call.request_class.aim_us), call.due - ANSWER_MARGIN_US)
         if until <= now:
             self._refuse(call)
             return
@@ -930,11 +939,11 @@
             queue.take(call)
             self._refuse(call)
         queue.watch(now)
-        while self.copies and self.copies[0][0] <= now:
-            self._copy(now, self.copies.popleft()[1])
-        while self.copies and self.copies[0][1].answered:
-            self.copies.popleft()
-        if queue.count or self.copies:
+        while self.pending_hedges and self.pending_hedges[0][0] <= now:
+            self._copy(now, self.pending_hedges.popleft()[1])
+        while self.pending_hedges and self.pending_hedges[0][1].answered:
+            self.pending_hedges.popleft()
+        if queue.count or self.pending_hedges:
             self._sweep_later(now)
 
     def _copy(self, now: int, call: Call) -> None:
@@ -942,7 +951,12 @@
 
         Acts only while nothing is scarce: no stress, nobody held, room under the cap, retries left.
         """
-        if call.answered or len(call.attempts) != 1 or not call.outstanding or call.grade.max_attempts == 1:
+        if (
+            call.answered
+            or len(call.attempts) != 1
+            or not call.outstanding
+            or call.request_class.max_attempts == 1
+        ):  # fmt: skip
             return
         if self.ratio.stress() > 0 or self.queue.count or self.retries.tokens < 1.0:
             return
@@ -962,8 +976,8 @@
     def _refuse(self, call: Call) -> None:
         """Final answer without a result: `shed` where that is legal."""
         if may_refuse(
-            call.grade.effect,
-            call.grade.group,
+            call.request_class.effect,
+            call.request_class.group,
             call.first_run is not None or bool(call.outstanding),
         ):
             wait = 0
@@ -990,7 +1004,7 @@
     def _try_send(self, now: int, call: Call) -> bool:
         worth = self.worth[call.level]
         barren = True  # whether this zone has no endpoint that could take the call, however long it waits
-        placement = self.placement[call.grade.name]
+        placement = self.candidates[call.request_class.name]
         share = 1.0 if worth >= LOW_WORTH else LOW_TIER_SHARE
         for pool in placement.pools:
             if not pool.subset.members:
@@ -1001,7 +1015,7 @@
                 lost = 1.0 - placement.local.limit.open
                 here, beyond = placement.local.limit.fair, placement.beyond
                 limit.listed = limit.fair = max(REMOTE_PART * (here + beyond), lost * here + beyond)
-            if limit.full(now, share * limit.room(self.scarcity), self.random):
+            if limit.full(now, share * limit.max_in_flight(self.scarcity), self.random):
                 barren = False
                 continue
             if pool is placement.remote and not barren and not self._worth_crossing(now, call):
@@ -1019,9 +1033,9 @@
         if gain <= price:
             return False
         # Danger: stress and queue of the one endpoint near refused what may not wait, beside others at rest.
-        if self.placement[call.grade.name].beyond > 0:
+        if self.candidates[call.request_class.name].beyond > 0:
             return True  # a part of this copy's own lies there
-        return now - call.arrived >= price / gain * HOLD_SHARE * call.grade.aim_us
+        return now - call.arrived >= price / gain * HOLD_SHARE * call.request_class.aim_us
 
     def _pick(self, now: int, pool: Pool, call: Call) -> EndpointState | None:
         """The less busy, by own calls in flight, of two random members of the subset."""
@@ -1030,7 +1044,7 @@
         best: EndpointState | None = None
         best_load = 0.0
         tried = call.attempts
-        spare = self.placement[call.grade.name].spare
+        spare = self.candidates[call.request_class.name].spare
         drawn = 0
         # A retry that finds nobody is refused at once: past what chance drew it looks at each that is whole.
         for at in range(-2 * REDRAWS, n if tried else 0):
@@ -1038,7 +1052,7 @@
             if e is best or (tried and any(a[0] is e for a in tried)):
                 continue
             warmth = self._warmth(now, e)
-            part = self._part(now, e, warmth) * spare.get(e.id, 1.0)
+            part = self._traffic_fraction(now, e, warmth) * spare.get(e.id, 1.0)
             if part < 1.0 and (at >= 0 or self.random.random() >= part):
                 continue
             if warmth < 1.0 and not self._affords(now, e, pool, warmth):
@@ -1046,9 +1060,9 @@
             # Rule 2: it may leave only once a connection has come up.
             leaves = now + self.settings.limits.connect_timeout_us
             if call.first_run is not None and not may_resend(
-                call.grade.effect,
-                call.grade.group,
-                call.grade.dedup_window_us,
+                call.request_class.effect,
+                call.request_class.group,
+                call.request_class.dedup_window_us,
                 call.first_run,
                 leaves,
                 (e.zone, e.cell),
@@ -1056,7 +1070,9 @@
                 continue
             dear = self.handshake if self.handshake and not self._linked(now, e) else 0.0
             # The draw has thinned what is cold: thinned again, one at rest would lose to any that is warm.
-            load = (e.in_flight / warmth + 1 + dear) / (e.weight * part / warmth / e.heard * e.pull.part)
+            load = (e.in_flight / warmth + 1 + dear) / (
+                e.weight * part / warmth / e.peer_factor * e.load_weight.factor
+            )  # fmt: skip
             if e.slow:
                 load *= e.slow
             if best is None or load < best_load:
@@ -1076,22 +1092,22 @@
             e.peak, e.peak_at = max(e.in_flight, int(now - e.used < self.link_kept_us and e.used > 0)), now
         return e.in_flight < e.peak
 
-    def _part(self, now: int, e: EndpointState, warmth: float) -> float:
+    def _traffic_fraction(self, now: int, e: EndpointState, warmth: float) -> float:
         """The part of a warm peer's calls that this endpoint may have: slow start, ejection and return.
 
         Rule 4: a draw that falls on a cold endpoint stands only with the probability of its least capacity,
         so each copy sends it that part of what its warm endpoints get, and so do all copies together.
         """
-        return warmth * self._returned(now, e) * e.heard
+        return warmth * self._returned(now, e) * e.peer_factor
 
     def _recount(self) -> None:
         """Count calls in flight anew: the cap is not on those at endpoints that have left."""
-        for placement in self.placements:
+        for placement in self.candidate_sets:
             placement.local.limit.in_flight = placement.remote.limit.in_flight = 0
         for call in self.calls.values():
             for n in call.outstanding:
                 e, _, pool, _ = call.attempts[n]
-                pool.limit.in_flight += e.ready
+                pool.limit.in_flight += e.is_ready
 
     def _returned(self, now: int, e: EndpointState) -> float:
         """The part of its calls that an endpoint may have while it is ejected, and after."""
@@ -1136,22 +1152,27 @@
         """
         fair = START_CALLS / self.settings.balancers  # a second, while no rate is known
         usual = max(pool.rate / len(pool.subset.members), fair)
-        if e.credit < 0:
-            e.credit = self.random.random() + fair  # all copies hear of the start at once
+        if e.cold_tokens < 0:
+            e.cold_tokens = self.random.random() + fair  # all copies hear of the start at once
         earned = usual * min(1.0, COLD_USE * self.settings.rules.overload_factor * warmth)
-        e.credit = min(1.0, e.credit + earned * (now - e.credit_at) / 1e6)
-        e.credit_at = now
-        return e.credit >= 1.0
+        e.cold_tokens = min(1.0, e.cold_tokens + earned * (now - e.cold_tokens_at) / 1e6)
+        e.cold_tokens_at = now
+        return e.cold_tokens >= 1.0
 
     def _send(self, now: int, call: Call, e: EndpointState, pool: Pool) -> None:
         call.outstanding.add(len(call.attempts))
         if not call.attempts:
             self.retries.earn()
-            self.placement[call.grade.name].sent += call.price
-            usual = pool.limit.median * call.grade.aim_us
+            self.candidates[call.request_class.name].sent += call.price
+            usual = pool.limit.median_latency * call.request_class.aim_us
             # Only the outermost layer copies: copies inside multiply, and only it sees all stress.
-            if usual and self.copying and call.grade.copies and call.grade.effect is Effect.IDEMPOTENT:
-                self.copies.append((now + int(COPY_RISE * usual), call))
+            if (
+                usual
+                and self.copying
+                and call.request_class.copies
+                and call.request_class.effect is Effect.IDEMPOTENT
+            ):  # fmt: skip
+                self.pending_hedges.append((now + int(COPY_RISE * usual), call))
                 self._sweep_later(now)
         step = -1  # unknown: others are out, and which connection comes next is not told
         if not e.in_flight:
@@ -1161,14 +1182,14 @@
                 step, e.peak = IDLE_STEPS, 0
         call.attempts.append((e, now, pool, step))
         e.used = now
-        e.credit -= 1.0 if e.credit >= 1.0 else 0.0
+        e.cold_tokens -= 1.0 if e.cold_tokens >= 1.0 else 0.0
         pool.sent += 1
         e.in_flight += 1
         if e.in_flight >= e.peak:
             e.peak, e.peak_at = e.in_flight, now
         pool.limit.in_flight += 1
         # Guards against work that goes on when its answer can no longer be worth anything.
-        self.actions.hand_off(call.id, e.id, 0 if call.grade.late_share else max(1, call.due - now))
+        self.actions.hand_off(call.id, e.id, 0 if call.request_class.late_share else max(1, call.due - now))
 
     # --- outcomes ---
 
@@ -1201,15 +1222,15 @@
         if load is not None:
             # Danger: what is cold reports idle cores since it gets less; its part would climb.
             warm = self._warmth(now_us, e) == 1.0
-            e.pull.hear(load.busy, pool.limit.busy if warm else None)
+            e.load_weight.record(load.busy, pool.limit.busy if warm else None)
         if not e.listed and not e.in_flight and self.endpoints.get(e.id) is e:
             del self.endpoints[e.id]
         e.used = now_us
-        if e.ready:
+        if e.is_ready:
             pool.limit.in_flight -= 1
         if step >= 0 and outcome not in NEVER_RAN:
             silent = outcome in UNANSWERED
-            long = spent_us > SILENT_RISE * pool.limit.median * found.grade.aim_us > 0
+            long = spent_us > SILENT_RISE * pool.limit.median_latency * found.request_class.aim_us > 0
             if not silent or long or outcome is Outcome.RESET:
                 self.idle.learn(step, silent)
         self._judge(now_us, found, e, pool, sent, spent_us, outcome)
@@ -1230,7 +1251,7 @@
         if outcome is Outcome.MOOT or outcome is Outcome.CANCELLED:
             return
         ok = outcome is Outcome.OK
-        share = spent / call.grade.aim_us
+        share = spent / call.request_class.aim_us
         # Danger: one that drains turns calls away at once, seconds before the list tells of it. With little
         # in flight it draws most of the sends, and each would count as crowding and cut the cap.
         e.declines = e.declines + 1 if outcome is Outcome.FULL else 0
@@ -1260,7 +1281,7 @@
                 self.ratio.record(now, share)
             if ok or outcome is Outcome.TIMEOUT or (outcome is Outcome.FULL and not leaving):
                 pool.limit.learn(now, sent, FULL_COUNTS if outcome is Outcome.FULL else share)
-        self.buckets.bill(call.bucket, call.price, call.paid, spent, ok)
+        self.buckets.charge(call.bucket, call.price, call.paid, spent, ok)
 
     def _consider_ejecting(self, now: int, e: EndpointState) -> None:
         # Endpoints that are down for sure raise the share of all: a multiple of that could never be reached.
@@ -1271,10 +1292,10 @@
         if now < e.ejected_until:
             return
         self.ejected = [o for o in self.ejected if o is not e and now < o.ejected_until + RETURN_US]
-        if sum(now < o.ejected_until for o in self.ejected) + 1 > MAX_EJECTED * self.ready:
+        if sum(now < o.ejected_until for o in self.ejected) + 1 > MAX_EJECTED * self.ready_count:
             return
         self.ejected.append(e)
-        for placement in self.placements:
+        for placement in self.candidate_sets:
             placement.local.counted_at = placement.remote.counted_at = 0
         e.ejections += 1
         wait = min(EJECT_US * 2 ** (e.ejections - 1), EJECT_MAX_US)
@@ -1286,13 +1307,13 @@
     def _again(self, now: int, call: Call, outcome: Outcome) -> None:
         """All attempts ended without an answer: send another where that is legal and wise, or give up."""
         s = self.settings
-        tries = min(MAX_TRIES if s.layer == 0 else MAX_TRIES_INSIDE, s.limits.max_attempts)
-        tries = min(tries, call.grade.max_attempts or tries)
-        legal = call.first_run is None or call.grade.effect is not Effect.AT_MOST_ONCE
+        tries = min(MAX_ATTEMPTS if s.layer == 0 else MAX_ATTEMPTS_INNER, s.limits.max_attempts)
+        tries = min(tries, call.request_class.max_attempts or tries)
+        legal = call.first_run is None or call.request_class.effect is not Effect.AT_MOST_ONCE
         legal = legal and len(call.attempts) < tries and now < call.due - ANSWER_MARGIN_US
         # What was turned away unseen made no work: the budget is for retries of what may have.
         if legal and (outcome in NEVER_RAN or self.retries.spend()):
-            for pool in self.placement[call.grade.name].pools:
+            for pool in self.candidates[call.request_class.name].pools:
                 if pool.subset.members and (endpoint := self._pick(now, pool, call)) is not None:
                     self._send(now, call, endpoint, pool)
                     return
@@ -1301,7 +1322,7 @@
     def hearsay(self, now_us: int, parts: Mapping[str, float]) -> None:
         """Others' evidence only lowers: nothing heard makes a cold endpoint warm or a draining one ready."""
         for e in self.endpoints.values():
-            e.heard = min(max(parts.get(e.id, 1.0), HEARSAY_FLOOR), 1.0)
+            e.peer_factor = min(max(parts.get(e.id, 1.0), HEARSAY_FLOOR), 1.0)
 
     def expired(self, now_us: int, call: str) -> None:
         found = self.calls.get(call)
--- a/eiderhub/config/explain.py
+++ b/eiderhub/config/explain.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from typing import Any, NamedTuple
 
-from eiderhub.balancer import MAX_TRIES, MAX_TRIES_INSIDE, may_refuse, may_resend
+from eiderhub.balancer import MAX_ATTEMPTS, MAX_ATTEMPTS_INNER, may_refuse, may_resend
 from eiderhub.interface import Effect, Group, RequestClass, Settings
 from eiderhub.routing.plan import METHOD, Plan
 from eiderhub.routing.target import Asked, Refused, segments_of
@@ -41,7 +41,7 @@
 
 def may_do(grade: RequestClass, settings: Settings) -> dict[str, str]:
     """What the sidecar may do once an attempt has ended, as the module's own rules say it."""
-    tries = min(MAX_TRIES if settings.layer == 0 else MAX_TRIES_INSIDE, settings.limits.max_attempts)
+    tries = min(MAX_ATTEMPTS if settings.layer == 0 else MAX_ATTEMPTS_INNER, settings.limits.max_attempts)
     tries = min(tries, grade.max_attempts or tries)
     ran = _after(grade, True, tries)
     return {
--- a/eiderhub/policy/pull.py
+++ b/eiderhub/policy/load_weight.py
@@ -9,29 +9,29 @@
 
 NUDGE = 0.25  # exponent of the ratio of the usual busy share to the reported one, for each report
 EVEN = 0.1  # busy share added to both: idle endpoints' reports are mostly noise
-RANGE = 4.0  # a part goes up to this many times the listed weight, and down to as small a part of it
+MAX_FACTOR = 4.0  # a part goes up to this many times the listed weight, and down to as small a part of it
 
 
-class Pull:
+class LoadWeight:
     """The part of one endpoint, as a multiple of its listed weight."""
 
-    __slots__ = ("busy", "part")
+    __slots__ = ("busy", "factor")
 
     def __init__(self) -> None:
         self.busy: float | None = None  # as last told
-        self.part = 1.0
+        self.factor = 1.0
 
-    def hear(self, busy: float, usual: float | None) -> None:
+    def record(self, busy: float, mean_busy: float | None) -> None:
         """Take a report; one that is still the last one, in a further answer, tells nothing."""
         if busy == self.busy:
             return
         self.busy = busy
-        if usual is not None:
-            ratio = (usual + EVEN) / (min(busy, 1.0) + EVEN)
-            self.part = min(max(self.part * ratio**NUDGE, 1 / RANGE), RANGE)
+        if mean_busy is not None:
+            ratio = (mean_busy + EVEN) / (min(busy, 1.0) + EVEN)
+            self.factor = min(max(self.factor * ratio**NUDGE, 1 / MAX_FACTOR), MAX_FACTOR)
 
 
-def usual(pulls: list[Pull]) -> float | None:
+def mean_busy(pulls: list[LoadWeight]) -> float | None:
     """The mean busy share of those that have told one."""
     told = [min(p.busy, 1.0) for p in pulls if p.busy is not None]
     return sum(told) / len(told) if told else None
--- a/tests/conformance/test_scenarios.py
+++ b/tests/conformance/test_scenarios.py
@@ -230,9 +230,9 @@
     async def scenario(world: World) -> None:
         caller, module = await world.caller(), world.sidecar.host.balancer
         # The usual latency is told, not learned: tests/test_balancer.py learns it, by a clock that no machine delays.
-        for placement in module.placements:
+        for placement in module.candidate_sets:
             for pool in placement.pools:
-                pool.limit.median = 0.02
+                pool.limit.median_latency = 0.02
         for grade, copies in (("pay", 1), ("look", 2)):
             world.runs.clear()
             caller.send(grade)
--- a/tests/fleet/test_evidence.py
+++ b/tests/fleet/test_evidence.py
@@ -138,10 +138,10 @@
     assert not host.balancer.ejected
     cold = [e._replace(launched_us=host.now) for e in endpoints(10)]
     host.balancer.discovery(host.now, ListForm.FULL, cold)
-    assert host.balancer.endpoints[bad].heard == 1.0  # a new process has its own name to make
+    assert host.balancer.endpoints[bad].peer_factor == 1.0  # a new process has its own name to make
     host.balancer.hearsay(host.now, {bad: 5.0})
-    assert host.balancer._part(host.now, host.balancer.endpoints[bad], 0.2) == 0.2
+    assert host.balancer._traffic_fraction(host.now, host.balancer.endpoints[bad], 0.2) == 0.2
     draining = [cold[0]._replace(readiness=Readiness.DRAINING)]
     host.balancer.discovery(host.now, ListForm.DELTA, draining)
     host.balancer.hearsay(host.now, {bad: 1.0})
-    assert not host.balancer.endpoints[bad].ready
+    assert not host.balancer.endpoints[bad].is_ready
--- a/tests/membership/test_client.py
+++ b/tests/membership/test_client.py
@@ -366,14 +366,14 @@
             assert world.consul is not None
             (fake,) = world.endpoints
             (state,) = world.host.balancer.endpoints.values()
-            learned = state.pull
+            learned = state.load_weight
             await drains(world, 0)
             await drains(world)
             assert list(world.host.balancer.endpoints.values()) == [state]
-            assert state.ready and state.pull is learned
+            assert state.is_ready and state.load_weight is learned
             world.consul.set("web", instance("web", fake.address, started_ms=str(time.time_ns() // 1_000_000)))
             await world.heard_consul()
-            assert world.host.balancer.endpoints[state.id].pull is not learned
+            assert world.host.balancer.endpoints[state.id].load_weight is not learned
 
     run(test())
 
--- a/tests/routing/test_plan.py
+++ b/tests/routing/test_plan.py
@@ -97,4 +97,4 @@
     host.reply(call, Outcome.OK)
     host.balancer.adopt(host.now, new.variants)
     assert old.variants[0].name not in host.balancer.classes
-    assert len(host.balancer.placements) == 1
+    assert len(host.balancer.candidate_sets) == 1
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -96,28 +96,28 @@
 def test_slow_answers_do_not_shrink_a_stated_quota() -> None:
     """Found on simulated days: latency was billed but not granted, so slow days cut tenants short."""
     buckets = TokenBuckets(settings(balancers=1), 0, 0)
-    small = buckets.find("small")
+    small = buckets.bucket_for("small")
     now, refused = 0, 0
     for i in range(3000):  # at its quota of 40 a second, each call taking 2 s
         now += 25 * MS
         if now >= buckets.next_refill:
             buckets.refill(now)
-        small.heard = now
+        small.last_seen_at = now
         if i > 500 and small.tokens < 1.0:
             refused += 1
         small.tokens -= 1.0
-        buckets.bill(small, 1.0, 1.0, 2 * S, True)
+        buckets.charge(small, 1.0, 1.0, 2 * S, True)
     assert refused == 0
 
 
 def test_calls_served_over_the_share_do_not_raise_the_budget() -> None:
     buckets = TokenBuckets(settings(balancers=1), 0, 0)
-    big, now = buckets.find("big"), 0
+    big, now = buckets.bucket_for("big"), 0
     for paid in (1.0, 0.0):
         for _ in range(2000):
             now += 5 * MS
-            big.heard = now
-            buckets.bill(big, 1.0, paid, 0, True)
+            big.last_seen_at = now
+            buckets.charge(big, 1.0, paid, 0, True)
             if now >= buckets.next_refill:
                 buckets.refill(now)
         assert (big.refill > 150) is (paid > 0)
@@ -147,7 +147,7 @@
 def test_endpoint_that_turns_calls_away_draws_few_and_does_not_cut_the_cap() -> None:
     """Found in an incident: one that drained took most of the sends and was counted as crowding."""
     host = Host(settings(balancers=1), endpoints(4))
-    cap = host.balancer.placements[0].local.limit.each
+    cap = host.balancer.candidate_sets[0].local.limit.endpoint_cap
     leaving = endpoints(1)[0].id
     for _ in range(200):
         call = host.order("pay")
@@ -160,7 +160,7 @@
         host.advance(10 * MS)
     late = [d[2] for d in host.sends()[-150:]]
     assert late.count(leaving) < 10
-    assert host.balancer.placements[0].local.limit.each >= cap
+    assert host.balancer.candidate_sets[0].local.limit.endpoint_cap >= cap
 
 
 def test_trouble_that_all_share_leaves_most_endpoints_in_use() -> None:
@@ -267,7 +267,7 @@
         limit.size(0.2)
         for i in range(60):
             limit.learn(i * 50 * MS, i * 50 * MS - 1, 0.05 if i < 30 else share)
-        assert more <= limit.room(scarcity) - limit.cap < more + 1.2
+        assert more <= limit.max_in_flight(scarcity) - limit.cap < more + 1.2
 
 
 def test_over_share_calls_are_refused_while_calls_within_their_share_find_no_room() -> None:
@@ -385,7 +385,7 @@
         host = Host(settings(balancers=40), endpoints(4))
         at_once = 0
         for _ in range(100):
-            host.balancer.placements[0].local.limit.slack = slack
+            host.balancer.candidate_sets[0].local.limit.slack = slack
             host.balancer.scarcity = 0.0
             call = host.order()
             at_once += bool(host.sends(call))
--- a/tests/test_cap.py
+++ b/tests/test_cap.py
@@ -35,7 +35,7 @@
 def test_half_of_the_tier_gone_shrinks_the_cap_with_it() -> None:
     """Calls learned for twelve endpoints are not laid on six, and what the dead hold does not fill the cap."""
     host, ids = fleet(12)
-    limit = host.balancer.placements[0].local.limit
+    limit = host.balancer.candidate_sets[0].local.limit
     before = limit.cap
     calls = [host.order() for _ in range(20)]
     gone = [e._replace(readiness=Readiness.GONE) for e in endpoints(6)]
@@ -48,16 +48,16 @@
         host.answer_all()
     assert not host.balancer.calls
     assert limit.in_flight == 0
-    each = limit.each
+    each = limit.endpoint_cap
     play(host, 25)
     assert limit.fair == limit.listed
-    assert limit.cap <= max(each, limit.each) * limit.listed < 1.3 * before
+    assert limit.cap <= max(each, limit.endpoint_cap) * limit.listed < 1.3 * before
 
 
 def test_a_release_that_replaces_one_endpoint_after_another_takes_no_calls_away() -> None:
     """Found on days of releases: the cap went with each endpoint that left for seconds, and the tier starved."""
     host, _ = fleet(9)
-    limit = host.balancer.placements[0].local.limit
+    limit = host.balancer.candidate_sets[0].local.limit
     before = limit.cap
     for left in (1, 2):
         gone = [e._replace(readiness=Readiness.DRAINING) for e in endpoints(left)]
@@ -70,8 +70,8 @@
 
 def test_cold_endpoints_open_only_their_part_of_the_cap() -> None:
     host, _ = fleet(6)
-    limit = host.balancer.placements[0].local.limit
-    before = limit.each * limit.fair
+    limit = host.balancer.candidate_sets[0].local.limit
+    before = limit.endpoint_cap * limit.fair
     host.balancer.discovery(host.now, ListForm.DELTA, endpoints(6, start=6, launched=host.now))
     host.order()
     assert limit.open == pytest.approx((6 + 6 * 0.2) / 12, rel=0.02)
@@ -108,8 +108,8 @@
 ) -> None:
     """Found on a day of spoilt answers: sound endpoints were ejected, and the cap of all the others closed."""
     host, ids = fleet()
-    limit = host.balancer.placements[0].local.limit
-    limit.each = 2 * START_CALLS
+    limit = host.balancer.candidate_sets[0].local.limit
+    limit.endpoint_cap = 2 * START_CALLS
     state = host.balancer.endpoints[ids[0]]
     for _ in range(200):
         call = host.order()
--- a/tests/test_crowding.py
+++ b/tests/test_crowding.py
@@ -87,7 +87,7 @@
     async def test() -> None:
         async with Sidecar(endpoints=4) as sidecar:
             queue = arrivals(sidecar)
-            cap = sidecar.host.balancer.placements[0].local.limit.cap
+            cap = sidecar.host.balancer.candidate_sets[0].local.limit.cap
             await fail_until_ejected(sidecar, queue, 2)
             assert cap / 3 < await reached(sidecar, queue, 40) < 2 * cap / 3
 
@@ -101,7 +101,7 @@
         clock = Clock(monkeypatch)
         async with Sidecar() as sidecar:
             queue = arrivals(sidecar)
-            limit = sidecar.host.balancer.placements[0].local.limit
+            limit = sidecar.host.balancer.candidate_sets[0].local.limit
             clients = [await sidecar.client() for _ in range(60)]
             for _ in range(20):
                 await serve(queue, clock, clients[:1], 100_000)
@@ -122,7 +122,7 @@
         clock = Clock(monkeypatch)
         async with Sidecar(endpoints=4) as sidecar:
             queue = arrivals(sidecar)
-            limit = sidecar.host.balancer.placements[0].local.limit
+            limit = sidecar.host.balancer.candidate_sets[0].local.limit
             await fail_until_ejected(sidecar, queue, 2, clock)
             clients = [await sidecar.client() for _ in range(40)]
             cap = limit.cap
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -82,14 +82,14 @@
     """Found on a deployment of four zones and few copies: the one endpoint near was crowded, others at rest."""
     entries = [*endpoints(1), *endpoints(5, zone="west", start=1)]
     host = Host(settings(balancers=2), entries)
-    (placement,) = host.balancer.placements
+    (placement,) = host.balancer.candidate_sets
     near, far = placement.local.limit, placement.remote.limit
-    assert near.cap == pytest.approx(near.each)  # of its part of three endpoints it has one here
+    assert near.cap == pytest.approx(near.endpoint_cap)  # of its part of three endpoints it has one here
     for _ in range(40):
         host.order(tenant="big")
         host.advance(30 * MS)
-    assert far.cap == pytest.approx(2 * far.each)  # and has the two others elsewhere
-    assert near.in_flight <= near.room(0.0) + 1
+    assert far.cap == pytest.approx(2 * far.endpoint_cap)  # and has the two others elsewhere
+    assert near.in_flight <= near.max_in_flight(0.0) + 1
     assert far.in_flight > 0
 
 
@@ -99,8 +99,8 @@
     entries = [*endpoints(1), *endpoints(5, zone="west", start=1)]
     prices = Prices(cross_zone=0.02)
     host = Host(settings(balancers=copies, tenants=(), classes=classes, prices=prices), entries)
-    near = host.balancer.placements[0].local.limit
-    while near.in_flight < near.room(0.0):
+    near = host.balancer.candidate_sets[0].local.limit
+    while near.in_flight < near.max_in_flight(0.0):
         host.order("hold")
     host.balancer.ratio.value = 0.1
     return host
@@ -110,7 +110,7 @@
     """Found on the long day of two deployments: refused for the stress of one endpoint, beside others at rest."""
     host = under_stress(copies=2)
     call = host.order("look")
-    assert host.balancer.placements[0].remote.limit.in_flight == 1
+    assert host.balancer.candidate_sets[0].remote.limit.in_flight == 1
     assert host.answers(call) == []
 
 
@@ -125,12 +125,12 @@
     host = Host(entries=endpoints(1))
     (known,) = host.balancer.endpoints.values()
     for step in range(20):
-        known.pull.hear(0.01 * step, 0.9)
-    assert known.pull.part > 2.0
+        known.load_weight.record(0.01 * step, 0.9)
+    assert known.load_weight.factor > 2.0
     again = endpoints(1, launched=host.now)
     host.balancer.discovery(host.now, ListForm.DELTA, again)
-    assert known.pull.part == 1.0
-    assert known.pull.busy is None
+    assert known.load_weight.factor == 1.0
+    assert known.load_weight.busy is None
 
 
 def test_a_cold_endpoint_that_reports_idle_cores_is_given_no_larger_part() -> None:
@@ -146,8 +146,8 @@
             host.balancer.reply(host.now, call, 0, endpoint, 100 * MS, True, Outcome.OK, load)
     assert len([d for d in host.sends() if d[2] == cold[0].id]) > 3
     known = host.balancer.endpoints[cold[0].id]
-    assert known.pull.busy is not None
-    assert known.pull.part == 1.0
+    assert known.load_weight.busy is not None
+    assert known.load_weight.factor == 1.0
 
 
 def test_a_call_that_leaves_late_waits_a_moment_and_not_for_as_long_as_its_client() -> None:
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -74,7 +74,7 @@
     """One request in ten seconds, a tier of sixty: the subset is small, so that it sees the same few again."""
     first: Counter[bool] = Counter()
     for host in copies(20, limits=Limits(max_attempts=4)):
-        members = host.balancer.placements[0].local.subset.members
+        members = host.balancer.candidate_sets[0].local.subset.members
         assert len(members) == 5
         for number in range(120):
             host.advance(10 * S)
@@ -96,7 +96,7 @@
     rules = Rules(cold_us=9 * S, cold_from=0.32, overload_factor=4.0)
     hosts = copies(rules=rules, limits=Limits(max_attempts=4))
     cold = endpoints(60)[7]
-    hosts = [h for h in hosts if any(e.id == cold.id for e in h.balancer.placements[0].local.subset.members)]
+    hosts = [h for h in hosts if any(e.id == cold.id for e in h.balancer.candidate_sets[0].local.subset.members)]
     chance = random.Random(5)
     sent: list[int] = []
     for host in hosts:
@@ -203,12 +203,12 @@
         if now >= buckets.next_refill:
             buckets.refill(now)
         tenant = chance.choices(list(rates), list(rates.values()))[0]
-        bucket = buckets.find(tenant)
-        bucket.heard = now
+        bucket = buckets.bucket_for(tenant)
+        bucket.last_seen_at = now
         within = bucket.tokens >= 1.0
         if within:
             bucket.tokens -= 1.0
-            buckets.bill(bucket, 1.0, 1.0, 500 * MS, True)
+            buckets.charge(bucket, 1.0, 1.0, 500 * MS, True)
         if now > 60 * S:
             asked[tenant == "big"] += 1
             over[tenant == "big"] += not within
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -42,7 +42,7 @@
         async with Sidecar() as sidecar:
             other = await Fake().start()
             host, _, port = other.address.rpartition(":")
-            sidecar.host.balancer.ask_wait = 60_000_000  # as after a long outage of the old address
+            sidecar.host.balancer.poll_backoff_us = 60_000_000  # as after a long outage of the old address
             sidecar.watcher.move(host, int(port))
             (await other.next()).reply(503, b"")
             (await other.next()).reply(200, listing(4, True))
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -10,7 +10,7 @@
 
 from benchmarks.reports import play
 from eiderhub.interface import Load, Outcome
-from eiderhub.policy.pull import RANGE, Pull, usual
+from eiderhub.policy.load_weight import MAX_FACTOR, LoadWeight, mean_busy
 from eiderhub.reports import read_load
 from tests.sidecar_support import Sidecar, run
 from tests.support import MS, Host, endpoints, settings
@@ -44,26 +44,26 @@
 
 @given(st.lists(st.tuples(st.floats(0.0, 1e9), st.none() | st.floats(0.0, 1.0)), max_size=200))
 def test_no_row_of_reports_takes_a_part_out_of_its_range(reports: list[tuple[float, float | None]]) -> None:
-    pull = Pull()
+    pull = LoadWeight()
     for busy, others in reports:
-        pull.hear(busy, others)
-        assert 1 / RANGE <= pull.part <= RANGE
+        pull.record(busy, others)
+        assert 1 / MAX_FACTOR <= pull.factor <= MAX_FACTOR
 
 
 def test_one_report_in_many_answers_nudges_once() -> None:
-    pull = Pull()
+    pull = LoadWeight()
     for _ in range(50):
-        pull.hear(0.9, 0.5)
-    once = Pull()
-    once.hear(0.9, 0.5)
-    assert pull.part == once.part < 1.0
+        pull.record(0.9, 0.5)
+    once = LoadWeight()
+    once.record(0.9, 0.5)
+    assert pull.factor == once.factor < 1.0
 
 
 def test_usual_is_told_only_by_those_that_report() -> None:
-    assert usual([Pull(), Pull()]) is None
-    told = Pull()
-    told.hear(7.0, None)  # more than all of its cores
-    assert usual([Pull(), told]) == 1.0
+    assert mean_busy([LoadWeight(), LoadWeight()]) is None
+    told = LoadWeight()
+    told.record(7.0, None)  # more than all of its cores
+    assert mean_busy([LoadWeight(), told]) == 1.0
 
 
 def fleet_shares(reports: bool) -> float:
@@ -101,7 +101,7 @@
         load = None if busy is None else Load(busy + 0.0001 * (step % 2))
         for out in [c for c in host.sent if c in host.balancer.calls]:
             host.balancer.reply(host.now, out, 0, host.sent[out][-1], spent, True, Outcome.OK, load)
-    return host.balancer.placement["look"].local.limit.each
+    return host.balancer.candidates["look"].local.limit.endpoint_cap
 
 
 def test_the_cap_falls_where_cores_are_reported_full_before_latencies_show_it() -> None:
@@ -128,7 +128,7 @@
             (await sidecar.endpoints[0].next()).reply(200, b"good", "Srv-Load: util=0.625,latency_ms=30")
             assert (await client.answer()).status == 200
             (known,) = sidecar.host.balancer.endpoints.values()
-            assert known.pull.busy == 0.625
+            assert known.load_weight.busy == 0.625
 
     run(test())
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -90,7 +90,7 @@
     host.reply(calls[0], Outcome.TIMEOUT, closed=True)
     host.reply(calls[0], Outcome.TIMEOUT, closed=True)
     assert host.answers(calls[0]) == host.answers(calls[-1]) == []
-    assert host.balancer.placements[0].local.limit.in_flight == len(calls) - 2
+    assert host.balancer.candidate_sets[0].local.limit.in_flight == len(calls) - 2
 
 
 def test_second_request_with_a_live_id_is_an_error() -> None:
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -34,7 +34,7 @@
     async def test() -> None:
         async with Sidecar(endpoints=2, Discovery="push" if pushed else "ask") as sidecar:
             stays, goes = sidecar.endpoints
-            sidecar.host.balancer.ask_wait = 60_000_000
+            sidecar.host.balancer.poll_backoff_us = 60_000_000
             await go_quiet(await sidecar.discovery.next(), how)
             again = await sidecar.discovery.next()
             assert again.connection == 1  # nothing that still comes on the old one is taken for an answer
