--- a/benchmarks/jam/__main__.py
+++ b/benchmarks/jam/__main__.py
@@ -18,7 +18,7 @@
 
 from benchmarks.jam.fleet import Asked, Sidecar, entry
 from benchmarks.jam.world import MS, Clock, Endpoint, Job, S, Tipping
-from eiderhub.interface import Effect, Group, Limits, ListForm, Readiness, RequestClass, Rules, Settings, Tenant
+from eiderhub.interface import DedupScope, Effect, Limits, ListForm, Readiness, RequestClass, Rules, Settings, Tenant
 
 TRIGGERS = ("burst", "failing", "replaced", "slow", "none")
 OUTER, INNER, SIDECARS = 12, 15, 6
@@ -26,8 +26,10 @@
 SPELL_US = 15 * S  # after the trigger's end: the share served on time is taken over this
 JAMMED_US = 5 * S
 CLASSES = (
-    RequestClass("reserva", 1000 * MS, 2500 * MS, Effect.DEDUPLICATED, Group.CELL, 4000 * MS, late_share=0.5),
-    RequestClass("despacho", 2500 * MS, 6000 * MS, Effect.AT_MOST_ONCE, late_share=0.25),
+    RequestClass(
+        "reserva", 1000 * MS, 2500 * MS, Effect.DEDUPLICATED, DedupScope.CELL, 4000 * MS, late_worth_share=0.5
+    ),
+    RequestClass("despacho", 2500 * MS, 6000 * MS, Effect.AT_MOST_ONCE, late_worth_share=0.25),
 )
 WORK_MS = {"reserva": (66, 120), "despacho": (150, 280)}
 IO_MS = {"reserva": (47, 87), "despacho": (210, 400)}
@@ -90,7 +92,7 @@
             zone="z",
             tenants=[Tenant(name, share, self.rate * share) for name, share in SHARES.items()] if layer == 0 else [],
             over_share_worth=0.05,
-            limits=Limits(max_attempts=5, second_copies=True, may_cancel=True, retry_after=True, conn_idle_us=5 * S),
+            limits=Limits(max_attempts=5, hedging=True, may_cancel=True, may_send_retry_after=True, conn_idle_us=5 * S),
             rules=Rules(9 * S, 0.32, 4.0),
         )
 
@@ -194,14 +196,14 @@
 
     def _replace(self, name: str) -> None:
         fresh = self._add_outer(self.clock.now)
-        gone = entry(self.outer[name], self.cells[name], Readiness.GONE)
+        gone = entry(self.outer[name], self.cells[name], Readiness.REMOVED)
         for sidecar in self.sidecars:
             sidecar.listed(ListForm.DELTA, [gone, entry(fresh, self.cells[fresh.name])])
 
     # --- what came of it ---
 
     def on_time(self, since: int, until: int) -> float:
-        aims = {c.name: c.aim_us for c in CLASSES}
+        aims = {c.name: c.objective_us for c in CLASSES}
         spell = [one for one in self.asked if since <= one.at < until]
         good = sum(bool(one.served_at) and one.served_at - one.at <= aims[one.grade] for one in spell)
         return good / max(1, len(spell))
--- a/benchmarks/jam/fleet.py
+++ b/benchmarks/jam/fleet.py
@@ -9,11 +9,11 @@
 from benchmarks.jam.world import NET_US, Clock, Endpoint, Job
 from eiderhub.balancer import Balancer
 from eiderhub.interface import Endpoint as Listed
-from eiderhub.interface import ListForm, Load, Outcome, Readiness, Settings
+from eiderhub.interface import ListForm, LoadReport, Outcome, Readiness, Settings
 
 MARGIN_US = 40_000  # answers leave this long before a deadline, as the real host has it
-OUTCOMES = {"ok": Outcome.OK, "error": Outcome.ERROR, "full": Outcome.FULL, "down": Outcome.CONNECT_FAILED}
-ANSWERED = frozenset((Outcome.OK, Outcome.ERROR, Outcome.FULL))  # what came back with an answer
+OUTCOMES = {"ok": Outcome.OK, "error": Outcome.ERROR, "full": Outcome.REJECTED, "down": Outcome.CONNECT_FAILED}
+ANSWERED = frozenset((Outcome.OK, Outcome.ERROR, Outcome.REJECTED))  # what came back with an answer
 
 Answer = Callable[[str], None]  # "served", "refused" or "failed"
 
@@ -42,7 +42,7 @@
         seed: int,
         endpoints: dict[str, Endpoint],
         chance: random.Random,
-        told: Callable[[str], Load | None] = lambda endpoint: None,
+        told: Callable[[str], LoadReport | None] = lambda endpoint: None,
     ) -> None:
         self.clock = clock
         self.told = told  # the load report that an answer of this endpoint carries now
--- a/benchmarks/reports.py
+++ b/benchmarks/reports.py
@@ -20,7 +20,7 @@
 
 from benchmarks.jam.fleet import Sidecar, entry
 from benchmarks.jam.world import MS, Clock, Endpoint, Job, S, Tipping
-from eiderhub.interface import Effect, Group, Limits, ListForm, Load, RequestClass, Rules, Settings, Tenant
+from eiderhub.interface import DedupScope, Effect, Limits, ListForm, LoadReport, RequestClass, Rules, Settings, Tenant
 
 SIDECARS, ENDPOINTS = 4, 12
 LENGTH_US = 40 * S
@@ -28,8 +28,8 @@
 REPORT_US, LATE_US = S, 400 * MS  # how often a report is made anew, and how late it is
 WORK_MS, BEHIND_MS = 90, 420  # at yardstick speed, and spent in the tiers behind
 CLASSES = (
-    RequestClass("book", 2500 * MS, 6000 * MS, Effect.DEDUPLICATED, Group.ALL, 10 * S, credit=2.0),
-    RequestClass("settle", 2500 * MS, 6000 * MS, Effect.AT_MOST_ONCE, credit=6.0),
+    RequestClass("book", 2500 * MS, 6000 * MS, Effect.DEDUPLICATED, DedupScope.ALL, 10 * S, worth=2.0),
+    RequestClass("settle", 2500 * MS, 6000 * MS, Effect.AT_MOST_ONCE, worth=6.0),
 )
 
 
@@ -45,7 +45,7 @@
     def __init__(self, clock: Clock, endpoint: Endpoint) -> None:
         self.clock = clock
         self.endpoint = endpoint
-        self.told: Load | None = None
+        self.told: LoadReport | None = None
         self.samples: list[float] = []
         self.all: list[float] = []
         clock.after(SAMPLE_US, self._sample)
@@ -57,7 +57,7 @@
 
     def _report(self) -> None:
         share = statistics.fmean(self.samples)
-        made = Load(share)
+        made = LoadReport(share)
         self.all.append(share)
         self.samples.clear()
         self.clock.after(LATE_US, partial(setattr, self, "told", made))
@@ -100,7 +100,7 @@
             tiers=3,
             zone="z",
             tenants=[Tenant("all", 1.0, self.rate)],
-            limits=Limits(max_attempts=3, second_copies=True, may_cancel=True, retry_after=True),
+            limits=Limits(max_attempts=3, hedging=True, may_cancel=True, may_send_retry_after=True),
             rules=Rules(9 * S, 0.31, 4.0),
         )
 
@@ -116,7 +116,7 @@
         grade = CLASSES[self.chance.random() < 0.28]
 
         def answer(word: str) -> None:
-            self.served += word == "served" and self.clock.now - begun <= grade.aim_us
+            self.served += word == "served" and self.clock.now - begun <= grade.objective_us
 
         self.chance.choice(self.sidecars).take(grade.name, "all", grade.deadline_us, self._job, answer)
 
--- a/eiderhub/__init__.py
+++ b/eiderhub/__init__.py
@@ -3,12 +3,12 @@
 from eiderhub.balancer import Balancer
 from eiderhub.interface import (
     Actions,
+    DedupScope,
     Discovery,
     Effect,
     Endpoint,
     Events,
     Goal,
-    Group,
     Limits,
     ListForm,
     Outcome,
@@ -23,12 +23,12 @@
 __all__ = [
     "Actions",
     "Balancer",
+    "DedupScope",
     "Discovery",
     "Effect",
     "Endpoint",
     "Events",
     "Goal",
-    "Group",
     "Limits",
     "ListForm",
     "Outcome",
--- a/eiderhub/balancer.py
+++ b/eiderhub/balancer.py
@@ -19,12 +19,12 @@
 
 from eiderhub.interface import (
     Actions,
+    DedupScope,
     Discovery,
     Effect,
     Endpoint,
-    Group,
     ListForm,
-    Load,
+    LoadReport,
     Outcome,
     Readiness,
     RequestClass,
@@ -154,21 +154,21 @@
 SPILL_GAIN = 0.5  # how much of a call's worth is taken to be saved by sending it to another zone
 
 UNANSWERED = frozenset((Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED))
-NEVER_RAN = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT))
+NEVER_RAN = frozenset((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_EXECUTED))
 UNLINKED = UNANSWERED | {Outcome.CONNECT_FAILED}  # after these the connection is gone
 SWEEP, ASK = "sweep", "ask"
 
 
-def may_refuse(effect: Effect, group: Group, may_have_run: bool) -> bool:
+def may_refuse(effect: Effect, dedup_scope: DedupScope, may_have_run: bool) -> bool:
     """Rule 2: whether `shed` is a legal answer; if not, only `surrender` is."""
     if not may_have_run or effect is Effect.IDEMPOTENT:
         return True
-    return effect is Effect.DEDUPLICATED and group is Group.ALL
+    return effect is Effect.DEDUPLICATED and dedup_scope is DedupScope.ALL
 
 
 def may_resend(
     effect: Effect,
-    group: Group,
+    dedup_scope: DedupScope,
     window_us: int,
     first: tuple[int, str, int] | None,
     now: int,
@@ -182,9 +182,9 @@
         return True
     if effect is Effect.AT_MOST_ONCE or now - first[0] > window_us:
         return False
-    if group is Group.ALL:
+    if dedup_scope is DedupScope.ALL:
         return True
-    return first[1] == to[0] if group is Group.ZONE else first[2] == to[1]
+    return first[1] == to[0] if dedup_scope is DedupScope.ZONE else first[2] == to[1]
 
 
 class TokenBuckets:
@@ -516,13 +516,18 @@
         self.take(entry, now)
 
     def take(self, entry: Endpoint, now: int) -> None:
-        self.zone, self.kind, self.cell, self.weight = entry.zone, entry.kind, entry.cell, entry.weight
+        self.zone, self.kind, self.cell, self.weight = (
+            entry.zone,
+            entry.machine_kind,
+            entry.cell,
+            entry.weight,
+        )
         self.labels = entry.labels
         self.is_ready = entry.readiness is Readiness.READY
         # What drains may be back in a moment, as where a check flaps: it is known until it is gone.
-        self.listed = entry.readiness is not Readiness.GONE
-        if entry.launched_us != self.launched:  # a new process under a known id: what we knew is void
-            self.launched = entry.launched_us
+        self.listed = entry.readiness is not Readiness.REMOVED
+        if entry.started_us != self.launched:  # a new process under a known id: what we knew is void
+            self.launched = entry.started_us
             self.cold_tokens, self.cold_tokens_at = -1.0, now
             self.failing = self.slow = 0.0
             self.ejected_until = self.ejections = 0
@@ -635,7 +640,7 @@
         """Follow how long the sojourn has stood above its target."""
         for level in range(len(self.levels)):
             call = self.head(level)
-            if call is not None and now - call.arrived > SOJOURN_SHARE * call.request_class.aim_us:
+            if call is not None and now - call.arrived > SOJOURN_SHARE * call.request_class.objective_us:
                 if self.long_since < 0:
                     self.long_since = now
                 return
@@ -670,9 +675,9 @@
     """
 
     def __init__(self, grade: RequestClass, layer: int) -> None:
-        self.constraint = (grade.stays_in, grade.served_on, grade.labels)
-        self.zones = grade.stays_in
-        self.kinds = grade.served_on
+        self.constraint = (grade.allowed_zones, grade.allowed_machine_kinds, grade.labels)
+        self.zones = grade.allowed_zones
+        self.kinds = grade.allowed_machine_kinds
         self.labels = grade.labels
         self.local, self.remote = Pool(layer), Pool(layer)
         self.pools = (self.local, self.remote)
@@ -695,28 +700,28 @@
         self.actions = actions
         self.random = random.Random(seed)
         whole = [c for c in settings.classes if not c.variant_of]
-        best = max(c.credit for c in whole) or 1.0
+        best = max(c.worth for c in whole) or 1.0
         worths = {
-            (c.name, over): c.credit / best * (settings.over_share_worth if over else 1.0)
+            (c.name, over): c.worth / best * (settings.over_share_worth if over else 1.0)
             for c in whole
             for over in (False, True)
         }
         goal = settings.goal
-        even = goal.by_class / (goal.by_class + goal.by_worth or 1.0)
+        even = goal.class_weight / (goal.class_weight + goal.worth_weight or 1.0)
         # What a served call is worth to the goal, where the cheapest class may count as much as the best.
         for k in worths:
             worths[k] = (1 - even) * worths[k] + even * (settings.over_share_worth if k[1] else 1.0)
         ranked = sorted(worths, key=lambda k: (-worths[k], k))
         self.level = {k: i for i, k in enumerate(ranked)}
         self.worth = [worths[k] for k in ranked]
-        self.copying = settings.limits.second_copies and settings.layer == 0
+        self.copying = settings.limits.hedging and settings.layer == 0
         self.handshake = min(1.0, HANDSHAKE_CALLS * settings.prices.handshake)
         self.link_kept_us = int(LINK_KEPT * settings.limits.conn_idle_us)
         self.started = False
 
     # --- life ---
 
-    def start(self, now_us: int, known: bool = False) -> None:
+    def start(self, now_us: int, has_cached_list: bool = False) -> None:
         s = self.settings
         self.started = True
         self.endpoints: dict[str, EndpointState] = {}
@@ -738,9 +743,9 @@
         self.pending_hedges: deque[tuple[int, Call]] = deque()  # when a second copy of the call falls due
         self.poll_backoff_us = ASK_BACKOFF_US
         self.asking = False
-        if s.discovery is Discovery.ASK:
+        if s.discovery is Discovery.POLL:
             # Guards against hundreds that start together: half of them would be turned away, and ask again.
-            spread = min(ASK_SPREAD_US * (s.balancers - 1), ASK_SPREAD_MAX_US) if known else 0
+            spread = min(ASK_SPREAD_US * (s.balancers - 1), ASK_SPREAD_MAX_US) if has_cached_list else 0
             self.asking = spread > 0
             if spread:
                 self.actions.timer(int(spread * self.random.random()), ASK)
@@ -776,13 +781,13 @@
 
     def discovery(self, now_us: int, form: ListForm, entries: Sequence[Endpoint]) -> None:
         if form is ListForm.FAILED:
-            if self.settings.discovery is Discovery.ASK and not self.asking:
+            if self.settings.discovery is Discovery.POLL and not self.asking:
                 # Guards against all copies asking again in step after discovery has turned them away.
                 self.asking = True
                 self.actions.timer(int(self.poll_backoff_us * (0.5 + self.random.random())), ASK)
                 # Rule 3: four times that long after a failed call its list counts as told anew.
                 self.poll_backoff_us = min(
-                    2 * self.poll_backoff_us, ASK_BACKOFF_MAX_US, self.settings.rules.ask_every_us
+                    2 * self.poll_backoff_us, ASK_BACKOFF_MAX_US, self.settings.rules.poll_interval_us
                 )
             return
         if form is not ListForm.CACHED:
@@ -861,7 +866,13 @@
     # --- requests ---
 
     def order(
-        self, now_us: int, call: str, grade: str, tenant: str | None, expires_in_us: int, hint_us: int | None
+        self,
+        now_us: int,
+        call: str,
+        class_name: str,
+        tenant: str | None,
+        expires_in_us: int,
+        hint_us: int | None,
     ) -> None:
         if not self.started:
             raise RuntimeError("order before start")
@@ -872,29 +883,29 @@
             buckets.refill(now_us)
             self._share_out()
         bucket = buckets.bucket_for(tenant or "")
-        new = self.calls[call] = Call(call, self.classes[grade], now_us, now_us + expires_in_us, bucket)
+        new = self.calls[call] = Call(call, self.classes[class_name], now_us, now_us + expires_in_us, bucket)
         bucket.last_seen_at = now_us
         stress = self.ratio.stress()
-        worth = self.worth[self.level[grade, False]]
+        worth = self.worth[self.level[class_name, False]]
         price = BASE_COST_RU + HINT_RU_PER_US * (hint_us or 0)
         new.price = price
         inflated = price * (1 + PENALTY * stress * (1 - worth))
         # Danger: where the settings name no tenants all calls are of one, with nobody's share to pass.
         over = bucket.tokens < inflated and bool(self.settings.tenants)
-        new.level = self.level[grade, over]
+        new.level = self.level[class_name, over]
         age = (
-            self.tries[grade].age(expires_in_us, new.request_class.deadline_us)
+            self.tries[class_name].age(expires_in_us, new.request_class.deadline_us)
             if not self.settings.layer
             else 0
         )  # fmt: skip
         if expires_in_us <= 0:
             self._refuse(new)
             return
-        if not new.request_class.late_share:
+        if not new.request_class.late_worth_share:
             # Guards against repeats that can no longer be worth anything.
-            usual = self.candidates[grade].local.limit.median_latency * HOPELESS
-            new.due = min(new.due, now_us + new.request_class.aim_us - age)
-            if new.due - now_us <= new.request_class.aim_us * usual:
+            usual = self.candidates[class_name].local.limit.median_latency * HOPELESS
+            new.due = min(new.due, now_us + new.request_class.objective_us - age)
+            if new.due - now_us <= new.request_class.objective_us * usual:
                 self._refuse(new)
                 return
         low = self.worth[new.level] < LOW_WORTH
@@ -920,7 +931,7 @@
 
     def _hold(self, now: int, call: Call) -> None:
         share = HOLD_SHARE_INSIDE if self.settings.layer else HOLD_SHARE
-        until = min(now + int(share * call.request_class.aim_us), call.due - ANSWER_MARGIN_US)
+        until = min(now + int(share * call.request_class.objective_us), call.due - ANSWER_MARGIN_US)
         if until <= now:
             self._refuse(call)
             return
@@ -977,12 +988,12 @@
         """Final answer without a result: `shed` where that is legal."""
         if may_refuse(
             call.request_class.effect,
-            call.request_class.group,
+            call.request_class.dedup_scope,
             call.first_run is not None or bool(call.outstanding),
         ):
             wait = 0
             limits = self.settings.limits
-            if limits.retry_after:
+            if limits.may_send_retry_after:
                 # Drawn anew for each: clients told the same wait would come back together.
                 wait = int(limits.max_retry_after_us * RETRY_AFTER_SHARE * (1 + self.random.random()))
             self.actions.shed(call.id, wait)
@@ -1035,7 +1046,7 @@
         # Danger: stress and queue of the one endpoint near refused what may not wait, beside others at rest.
         if self.candidates[call.request_class.name].beyond > 0:
             return True  # a part of this copy's own lies there
-        return now - call.arrived >= price / gain * HOLD_SHARE * call.request_class.aim_us
+        return now - call.arrived >= price / gain * HOLD_SHARE * call.request_class.objective_us
 
     def _pick(self, now: int, pool: Pool, call: Call) -> EndpointState | None:
         """The less busy, by own calls in flight, of two random members of the subset."""
@@ -1061,7 +1072,7 @@
             leaves = now + self.settings.limits.connect_timeout_us
             if call.first_run is not None and not may_resend(
                 call.request_class.effect,
-                call.request_class.group,
+                call.request_class.dedup_scope,
                 call.request_class.dedup_window_us,
                 call.first_run,
                 leaves,
@@ -1138,9 +1149,9 @@
         """The least part of its capacity that the endpoint has, by its stated start."""
         rules = self.settings.rules
         age = now - e.launched
-        if not e.launched or age >= rules.cold_us:
+        if not e.launched or age >= rules.warm_up_us:
             return 1.0
-        return rules.cold_from + (1 - rules.cold_from) * max(age, 0) / rules.cold_us
+        return rules.cold_capacity_share + (1 - rules.cold_capacity_share) * max(age, 0) / rules.warm_up_us
 
     def _affords(self, now: int, e: EndpointState, pool: Pool, warmth: float) -> bool:
         """Whether a cold endpoint has credit left: it earns a part of what those of its pool usually got.
@@ -1164,12 +1175,12 @@
         if not call.attempts:
             self.retries.earn()
             self.candidates[call.request_class.name].sent += call.price
-            usual = pool.limit.median_latency * call.request_class.aim_us
+            usual = pool.limit.median_latency * call.request_class.objective_us
             # Only the outermost layer copies: copies inside multiply, and only it sees all stress.
             if (
                 usual
                 and self.copying
-                and call.request_class.copies
+                and call.request_class.may_hedge
                 and call.request_class.effect is Effect.IDEMPOTENT
             ):  # fmt: skip
                 self.pending_hedges.append((now + int(COPY_RISE * usual), call))
@@ -1189,7 +1200,11 @@
             e.peak, e.peak_at = e.in_flight, now
         pool.limit.in_flight += 1
         # Guards against work that goes on when its answer can no longer be worth anything.
-        self.actions.hand_off(call.id, e.id, 0 if call.request_class.late_share else max(1, call.due - now))
+        self.actions.hand_off(
+            call.id,
+            e.id,
+            0 if call.request_class.late_worth_share else max(1, call.due - now),
+        )
 
     # --- outcomes ---
 
@@ -1207,7 +1222,7 @@
         spent_us: int,
         closed: bool,
         outcome: Outcome,
-        load: Load | None = None,
+        load: LoadReport | None = None,
     ) -> None:
         found = self.calls.get(call)
         if found is None or attempt not in found.outstanding:
@@ -1222,7 +1237,7 @@
         if load is not None:
             # Danger: what is cold reports idle cores since it gets less; its part would climb.
             warm = self._warmth(now_us, e) == 1.0
-            e.load_weight.record(load.busy, pool.limit.busy if warm else None)
+            e.load_weight.record(load.busy_share, pool.limit.busy if warm else None)
         if not e.listed and not e.in_flight and self.endpoints.get(e.id) is e:
             del self.endpoints[e.id]
         e.used = now_us
@@ -1230,7 +1245,7 @@
             pool.limit.in_flight -= 1
         if step >= 0 and outcome not in NEVER_RAN:
             silent = outcome in UNANSWERED
-            long = spent_us > SILENT_RISE * pool.limit.median_latency * found.request_class.aim_us > 0
+            long = spent_us > SILENT_RISE * pool.limit.median_latency * found.request_class.objective_us > 0
             if not silent or long or outcome is Outcome.RESET:
                 self.idle.learn(step, silent)
         self._judge(now_us, found, e, pool, sent, spent_us, outcome)
@@ -1248,17 +1263,17 @@
         self, now: int, call: Call, e: EndpointState, pool: Pool, sent: int, spent: int, outcome: Outcome
     ) -> None:
         """Learn from an outcome: the endpoint's health, the ratio, the cap and the tenant's bill."""
-        if outcome is Outcome.MOOT or outcome is Outcome.CANCELLED:
+        if outcome is Outcome.NOT_EXECUTED or outcome is Outcome.CANCELLED:
             return
         ok = outcome is Outcome.OK
-        share = spent / call.request_class.aim_us
+        share = spent / call.request_class.objective_us
         # Danger: one that drains turns calls away at once, seconds before the list tells of it. With little
         # in flight it draws most of the sends, and each would count as crowding and cut the cap.
-        e.declines = e.declines + 1 if outcome is Outcome.FULL else 0
+        e.declines = e.declines + 1 if outcome is Outcome.REJECTED else 0
         leaving = e.declines >= LEAVING_DECLINES
         if leaving and not e.in_flight:
             self._eject(now, e, "turns calls away")
-        if outcome is not Outcome.FULL:  # a full endpoint is busy, not ill
+        if outcome is not Outcome.REJECTED:  # a full endpoint is busy, not ill
             failed = 0.0 if ok else 1.0
             together = outcome is Outcome.RESET and now - e.failed_at < TOGETHER_US
             e.unreachable = outcome is Outcome.CONNECT_FAILED or together
@@ -1279,8 +1294,8 @@
         if e.slow <= OUTLIER or share <= self.fleet_latency:
             if ok or outcome is Outcome.TIMEOUT:
                 self.ratio.record(now, share)
-            if ok or outcome is Outcome.TIMEOUT or (outcome is Outcome.FULL and not leaving):
-                pool.limit.learn(now, sent, FULL_COUNTS if outcome is Outcome.FULL else share)
+            if ok or outcome is Outcome.TIMEOUT or (outcome is Outcome.REJECTED and not leaving):
+                pool.limit.learn(now, sent, FULL_COUNTS if outcome is Outcome.REJECTED else share)
         self.buckets.charge(call.bucket, call.price, call.paid, spent, ok)
 
     def _consider_ejecting(self, now: int, e: EndpointState) -> None:
@@ -1319,10 +1334,10 @@
                     return
         self._refuse(call)
 
-    def hearsay(self, now_us: int, parts: Mapping[str, float]) -> None:
+    def hearsay(self, now_us: int, factors: Mapping[str, float]) -> None:
         """Others' evidence only lowers: nothing heard makes a cold endpoint warm or a draining one ready."""
         for e in self.endpoints.values():
-            e.peer_factor = min(max(parts.get(e.id, 1.0), HEARSAY_FLOOR), 1.0)
+            e.peer_factor = min(max(factors.get(e.id, 1.0), HEARSAY_FLOOR), 1.0)
 
     def expired(self, now_us: int, call: str) -> None:
         found = self.calls.get(call)
--- a/eiderhub/config/command.py
+++ b/eiderhub/config/command.py
@@ -183,7 +183,7 @@
     if hint := explaining.keyed_hint(grade):
         yield "key", hint
     yield "pool", explaining.describe_pool(grade)
-    yield "wanted within", show_duration(grade.aim_us)
+    yield "wanted within", show_duration(grade.objective_us)
     yield "given up after", show_duration(grade.deadline_us)
     yield from explaining.may_do(grade, config.settings).items()
 
--- a/eiderhub/config/explain.py
+++ b/eiderhub/config/explain.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from eiderhub.balancer import MAX_ATTEMPTS, MAX_ATTEMPTS_INNER, may_refuse, may_resend
-from eiderhub.interface import Effect, Group, RequestClass, Settings
+from eiderhub.interface import DedupScope, Effect, RequestClass, Settings
 from eiderhub.routing.plan import METHOD, Plan
 from eiderhub.routing.target import Asked, Refused, segments_of
 from eiderhub.schema.units import show_duration, show_size
@@ -54,20 +54,26 @@
 def _after(grade: RequestClass, ran: bool, tries: int) -> str:
     first = (0, *HERE) if ran else None
     window = grade.dedup_window_us
-    here = may_resend(grade.effect, grade.group, window, first, 0, HERE)
-    elsewhere = may_resend(grade.effect, grade.group, window, first, 0, OTHER_CELL)
-    for_good = may_resend(grade.effect, grade.group, window, first, window + 1, HERE)
-    answer = "refuse (503)" if may_refuse(grade.effect, grade.group, ran) else "fail (502 or 504), promising nothing"
+    here = may_resend(grade.effect, grade.dedup_scope, window, first, 0, HERE)
+    elsewhere = may_resend(grade.effect, grade.dedup_scope, window, first, 0, OTHER_CELL)
+    for_good = may_resend(grade.effect, grade.dedup_scope, window, first, window + 1, HERE)
+    answer = (
+        "refuse (503)" if may_refuse(grade.effect, grade.dedup_scope, ran) else "fail (502 or 504), promising nothing"
+    )
     if not here or tries == 1:
         return f"never send it again; {answer}"
-    where = "to any endpoint" if elsewhere else f"within its {grade.group.value} alone"
+    where = "to any endpoint" if elsewhere else f"within its {grade.dedup_scope.value} alone"
     until = "" if for_good else f" for {show_duration(window)} after the first attempt"
     return f"send it again {where}{until}, {tries} attempts in all; then {answer}"
 
 
 def describe_pool(grade: RequestClass) -> str:
     parts = []
-    for words, names in (("zones", grade.stays_in), ("kinds", grade.served_on), ("labels", grade.labels or None)):
+    for words, names in (
+        ("zones", grade.allowed_zones),
+        ("kinds", grade.allowed_machine_kinds),
+        ("labels", grade.labels or None),
+    ):
         if names is not None:
             parts.append(f"{words} {', '.join(sorted(names)) or 'none'}")
     return "; ".join(parts) or "every endpoint"
@@ -143,9 +149,9 @@
 def _class_facts(grade: RequestClass, settings: Settings) -> list[Fact]:
     subject = f"class {grade.name}"
     found = [
-        Fact(subject, "is wanted within", show_duration(grade.aim_us), True),
+        Fact(subject, "is wanted within", show_duration(grade.objective_us), True),
         Fact(subject, "is given up after", show_duration(grade.deadline_us), True),
-        Fact(subject, "is worth", f"{grade.credit:g}, {grade.late_share:g} of it when late", True),
+        Fact(subject, "is worth", f"{grade.worth:g}, {grade.late_worth_share:g} of it when late", True),
     ]
     return found + [Fact(subject, what, value, True) for what, value in may_do(grade, settings).items()]
 
@@ -155,7 +161,7 @@
     found = [Fact(subject, "is served by", describe_pool(grade), False)]
     if grade.variant_of:
         found.append(Fact(subject, "is given up after", show_duration(grade.deadline_us), False))
-        found.append(Fact(subject, "may have second copies", str(grade.copies).lower(), False))
+        found.append(Fact(subject, "may have second copies", str(grade.may_hedge).lower(), False))
         found += [Fact(subject, what, value, False) for what, value in may_do(grade, settings).items()]
     return found
 
@@ -203,5 +209,9 @@
 def keyed_hint(grade: RequestClass) -> str:
     if grade.effect is not Effect.DEDUPLICATED:
         return ""
-    group = {Group.ALL: "all endpoints", Group.ZONE: "those of one zone", Group.CELL: "those of one cell"}[grade.group]
+    group = {
+        DedupScope.ALL: "all endpoints",
+        DedupScope.ZONE: "those of one zone",
+        DedupScope.CELL: "those of one cell",
+    }[grade.dedup_scope]
     return f"{group} drop a repeat of its key for {show_duration(grade.dedup_window_us)}"
--- a/eiderhub/config/sidecar_file.py
+++ b/eiderhub/config/sidecar_file.py
@@ -9,7 +9,7 @@
 import re
 from typing import Any
 
-from eiderhub.interface import Discovery, Effect, Group
+from eiderhub.interface import DedupScope, Discovery, Effect
 from eiderhub.routing.target import Refused, segments_of
 from eiderhub.schema.declared import STRICTNESS, declared, fold
 from eiderhub.schema.findings import Spot
@@ -77,7 +77,7 @@
         Key("AimUs", US, "wanted within (microseconds)"),
         Key("DeadlineUs", US, "given up after (microseconds)"),
         Key("Effect", _choice(Effect), "what a repeat would do"),
-        _optional("Group", _choice(Group), "which endpoints drop a repeat of a keyed request", "all"),
+        _optional("Group", _choice(DedupScope), "which endpoints drop a repeat of a keyed request", "all"),
         _optional("DedupWindowUs", PAUSE, "for how long they drop it (microseconds)", 0),
         _optional("Credit", WEIGHT, "what a request is worth", 1.0),
         _optional("LateShare", PART, "share of the worth that a late answer earns", 0.0),
--- a/eiderhub/interface.py
+++ b/eiderhub/interface.py
@@ -21,7 +21,7 @@
     AT_MOST_ONCE = "at_most_once"
 
 
-class Group(Enum):
+class DedupScope(Enum):
     """Which endpoints drop the repeats of a deduplicated request."""
 
     ALL = "all"
@@ -34,24 +34,24 @@
 
     OK = 10
     ERROR = 20
-    FULL = 30
+    REJECTED = 30
     TIMEOUT = 40
     CONNECT_FAILED = 50
     RESET = 60
     CANCELLED = 70
-    MOOT = 80
+    NOT_EXECUTED = 80
 
 
-class Load(NamedTuple):
+class LoadReport(NamedTuple):
     """What an endpoint says of itself in an answer."""
 
-    busy: float  # share of its cores in use
+    busy_share: float  # share of its cores in use
 
 
 class Readiness(Enum):
     READY = "ready"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
 class ListForm(Enum):
@@ -65,7 +65,7 @@
 
 class Discovery(Enum):
     PUSH = "push"
-    ASK = "ask"
+    POLL = "ask"
 
 
 class Endpoint(NamedTuple):
@@ -73,11 +73,11 @@
 
     id: str
     zone: str
-    kind: str
+    machine_kind: str
     cell: int
     readiness: Readiness
     weight: float = 1.0
-    launched_us: int = 0
+    started_us: int = 0
     labels: frozenset[str] = frozenset()  # further facts of it, as "name=value"
 
 
@@ -89,28 +89,28 @@
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     name: str
-    aim_us: int
+    objective_us: int
     deadline_us: int
     effect: Effect
-    group: Group = Group.ALL
+    dedup_scope: DedupScope = DedupScope.ALL
     dedup_window_us: int = 0
-    credit: float = 1.0
-    late_share: float = 0.0
+    worth: float = 1.0
+    late_worth_share: float = 0.0
     streaming: bool = False
-    stays_in: frozenset[str] | None = None  # the only zones that it may go to; None: any
-    served_on: frozenset[str] | None = None  # the only kinds of machine
+    allowed_zones: frozenset[str] | None = None  # the only zones that it may go to; None: any
+    allowed_machine_kinds: frozenset[str] | None = None  # the only kinds of machine
     labels: frozenset[str] = frozenset()  # "name=value" facts that an endpoint must have, all of them
     max_attempts: int = 0  # fewer than the site's; 0: the site's
-    copies: bool = True  # whether a second copy may go out, where the class and the site allow it
+    may_hedge: bool = True  # whether a second copy may go out, where the class and the site allow it
     variant_of: str = ""  # the class that this one is a narrower form of, and ranks as; "": none
 
     def __post_init__(self) -> None:
         _require(bool(self.name), "name", "must not be empty")
-        _require(self.aim_us > 0, "aim_us", "must be above 0")
+        _require(self.objective_us > 0, "objective_us", "must be above 0")
         _require(self.deadline_us > 0, "deadline_us", "must be above 0")
         _require(self.dedup_window_us >= 0, "dedup_window_us", "must not be negative")
-        _require(self.credit >= 0, "credit", "must not be negative")
-        _require(0 <= self.late_share <= 1, "late_share", "must lie in 0..1")
+        _require(self.worth >= 0, "worth", "must not be negative")
+        _require(0 <= self.late_worth_share <= 1, "late_worth_share", "must lie in 0..1")
         _require(self.max_attempts >= 0, "max_attempts", "must not be negative")
 
 
@@ -132,9 +132,9 @@
 
     max_attempts: int = 3
     max_retry_after_us: int = 1_000_000
-    second_copies: bool = False
+    hedging: bool = False
     may_cancel: bool = False
-    retry_after: bool = False
+    may_send_retry_after: bool = False
     conn_idle_us: int = 0  # idle connections are closed after this; 0: not told
     connect_timeout_us: int = 250_000  # a connection not up by then has failed
 
@@ -157,30 +157,30 @@
 class Goal:
     """Weights of the result's parts: what is counted class by class makes a cheap class matter too."""
 
-    by_worth: float = 1.0  # over all requests, each with its class's worth
-    by_class: float = 0.0  # the weakest class, and parts that each class has alike
+    worth_weight: float = 1.0  # over all requests, each with its class's worth
+    class_weight: float = 0.0  # the weakest class, and parts that each class has alike
 
     def __post_init__(self) -> None:
-        _require(self.by_worth >= 0, "by_worth", "must not be negative")
-        _require(self.by_class >= 0, "by_class", "must not be negative")
+        _require(self.worth_weight >= 0, "worth_weight", "must not be negative")
+        _require(self.class_weight >= 0, "class_weight", "must not be negative")
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
     """Figures of the rules on cold endpoints and on drains, which are kept at once, whatever their grace."""
 
-    cold_us: int = 10_000_000
-    cold_from: float = 0.1
+    warm_up_us: int = 10_000_000
+    cold_capacity_share: float = 0.1
     overload_factor: float = 2.0
     drain_grace_us: int = 1_000_000  # how soon news of a drain must be in force: it says how often to look for it
-    ask_every_us: int = 10_000_000  # how long a copy with no watch may go by its list, or four times that
+    poll_interval_us: int = 10_000_000  # how long a copy with no watch may go by its list, or four times that
 
     def __post_init__(self) -> None:
-        _require(self.cold_us >= 0, "cold_us", "must not be negative")
-        _require(0 < self.cold_from <= 1, "cold_from", "must lie in (0, 1]")
+        _require(self.warm_up_us >= 0, "warm_up_us", "must not be negative")
+        _require(0 < self.cold_capacity_share <= 1, "cold_capacity_share", "must lie in (0, 1]")
         _require(self.overload_factor > 0, "overload_factor", "must be above 0")
         _require(self.drain_grace_us >= 0, "drain_grace_us", "must not be negative")
-        _require(self.ask_every_us > 0, "ask_every_us", "must be above 0")
+        _require(self.poll_interval_us > 0, "poll_interval_us", "must be above 0")
 
 
 @dataclass(frozen=True, slots=True)
@@ -247,14 +247,14 @@
 class Events(Protocol):
     """What a host tells an instance, in order of arrival."""
 
-    def start(self, now_us: int, known: bool = False) -> None:
+    def start(self, now_us: int, has_cached_list: bool = False) -> None:
         """Comes first, once; `known`: the list that was known last follows, and serves until discovery answers."""
 
     def discovery(self, now_us: int, form: ListForm, entries: Sequence[Endpoint]) -> None:
         """News of the endpoints."""
 
     def order(
-        self, now_us: int, call: str, grade: str, tenant: str | None, expires_in_us: int, hint_us: int | None
+        self, now_us: int, call: str, class_name: str, tenant: str | None, expires_in_us: int, hint_us: int | None
     ) -> None:
         """A request came in; exactly one final answer is owed for it."""
 
@@ -270,14 +270,14 @@
         spent_us: int,
         closed: bool,
         outcome: Outcome,
-        load: Load | None = None,
+        load: LoadReport | None = None,
     ) -> None:
         """An attempt ended; `closed` says that the request is finished, `load` what came with the answer."""
 
     def adopt(self, now_us: int, classes: Sequence[RequestClass]) -> None:
         """Other variants of the classes hold from now on; the classes themselves stay as they were."""
 
-    def hearsay(self, now_us: int, parts: Mapping[str, float]) -> None:
+    def hearsay(self, now_us: int, factors: Mapping[str, float]) -> None:
         """What other instances' evidence leaves of endpoints' parts, in 0..1; those not named are at their full one."""
 
     def expired(self, now_us: int, call: str) -> None:
--- a/eiderhub/reports.py
+++ b/eiderhub/load_reports.py
@@ -7,7 +7,7 @@
 
 import math
 
-from eiderhub.interface import Load
+from eiderhub.interface import LoadReport
 
 BUSY = frozenset(("cpu_share", "util"))  # the simulator's name and the sockets' for one figure
 MOST_CHARS = 256  # of a report; a longer one is noise
@@ -22,7 +22,7 @@
     return value if math.isfinite(value) and 0.0 <= value <= MOST_FIGURE else None
 
 
-def read_load(text: str, between: str) -> Load | None:
+def parse_load_report(text: str, separator: str) -> LoadReport | None:
     """The report in `text`, whose names and values have `between` between them; None where it says nothing.
 
     Source: PROTOCOL, `Srv-Load` (sockets); WIRE, `ServerStats` (simulator).
@@ -31,7 +31,7 @@
         return None
     busy = None
     for pair in text.split(","):
-        name, _, value = pair.strip().partition(between)
+        name, _, value = pair.strip().partition(separator)
         if name in BUSY:
             busy = _figure(value)
-    return None if busy is None else Load(busy)
+    return None if busy is None else LoadReport(busy)
--- a/eiderhub/membership/consul/health.py
+++ b/eiderhub/membership/consul/health.py
@@ -147,11 +147,11 @@
         # Ids of services are unique on a node alone.
         id=f"{node.node}/{service.id}",
         zone=meta.get(meaning.zone, service.locality.zone if service.locality else ""),
-        kind=meta.get(meaning.kind, ""),
+        machine_kind=meta.get(meaning.kind, ""),
         cell=_number(meta, meaning.cell, -1),
         readiness=readiness,
         weight=float(weight) if weight > 0 else 1.0,
-        launched_us=started_ms * 1000 - UNIX_OFFSET_US or 1 if started_ms else 0,
+        started_us=started_ms * 1000 - UNIX_OFFSET_US or 1 if started_ms else 0,
         labels=frozenset(labels),
     )
     return ListedEndpoint(endpoint, host, service.port)
--- a/eiderhub/membership/endpoint_list.py
+++ b/eiderhub/membership/endpoint_list.py
@@ -36,12 +36,12 @@
     endpoint = Endpoint(
         id=str(row["instanceId"]),
         zone=str(row.get("zone") or ""),
-        kind=str(row.get("machineType") or ""),
+        machine_kind=str(row.get("machineType") or ""),
         cell=int(row["cell"]) if row.get("cell") is not None else -1,
         readiness=Readiness(row["lifecycle"]),
         weight=weight if weight > 0 else 1.0,
         # 0 stands for long ago; the module's clock is monotonic, so a start may lie before its zero.
-        launched_us=started_ms * 1000 - UNIX_OFFSET_US or 1 if started_ms else 0,
+        started_us=started_ms * 1000 - UNIX_OFFSET_US or 1 if started_ms else 0,
         labels=_labels(row.get("metadata")),
     )
     if not host:
--- a/eiderhub/membership/merger.py
+++ b/eiderhub/membership/merger.py
@@ -14,7 +14,7 @@
 from eiderhub.membership.endpoint_list import ListedEndpoint
 
 MAX_GONE = 10_000  # addresses of which a source's "gone" is remembered; past that the oldest are forgotten
-CAUTION = {Readiness.READY: 0, Readiness.DRAINING: 1, Readiness.GONE: 2}
+CAUTION = {Readiness.READY: 0, Readiness.DRAINING: 1, Readiness.REMOVED: 2}
 MANY = ("service", "tag")  # labels of which an endpoint may have several
 Address = tuple[str, int]
 
@@ -50,7 +50,7 @@
         here = self.at.get(address)
         if here is not None and here.get(name) == entry:
             return  # as before: what most entries of a long list are
-        if entry.endpoint.readiness is Readiness.GONE:
+        if entry.endpoint.readiness is Readiness.REMOVED:
             yield from self.drop(name, now_us)
             return
         if self.where.get(name, address) != address:
@@ -80,7 +80,7 @@
         here = self.at.get(address)
         if here:
             return max((entry.endpoint.readiness for entry in here.values()), key=CAUTION.__getitem__)
-        return Readiness.GONE if address in self.gone else None
+        return Readiness.REMOVED if address in self.gone else None
 
     def caution_ends_us(self) -> int | None:
         """Until when its caution stands above another's word, if it stays silent; None: for good."""
@@ -164,7 +164,7 @@
                 if old is not None:
                     del self.picture[address]
                     del self._ids[old.endpoint.id]
-                    ends.append(old._replace(endpoint=old.endpoint._replace(readiness=Readiness.GONE)))
+                    ends.append(old._replace(endpoint=old.endpoint._replace(readiness=Readiness.REMOVED)))
             elif entry != old:
                 begins.append(entry)
         return Step(ends + [self._placed(entry) for entry in begins], notes)
@@ -184,7 +184,7 @@
         """What holds of an address now; None: it is gone, or nobody ever told of it."""
         known = [source.at[address] for source in self._sources.values() if address in source.at]
         word = self._word(address, now_us)
-        if not known or word is Readiness.GONE:
+        if not known or word is Readiness.REMOVED:
             return None
         entries = [entry for here in known for entry in here.values()]
         first = entries[0]  # of the source that comes first
@@ -193,7 +193,7 @@
             id=old.endpoint.id if old is not None else first.endpoint.id,
             readiness=word,
             # The latest start that anyone tells: rule 4 asks for the most caution with what may be cold.
-            launched_us=self._started_us(address),
+            started_us=self._started_us(address),
             labels=_labels(entries),
         )
         return first._replace(endpoint=endpoint)
@@ -209,14 +209,14 @@
             ends_us = source.caution_ends_us()
             over = word is not Readiness.READY and ends_us is not None and ends_us <= now_us
             # An address that a new process has taken: the word was about the one before.
-            over = over or (word is Readiness.GONE and self._started_us(address) > source.gone[address])
+            over = over or (word is Readiness.REMOVED and self._started_us(address) > source.gone[address])
             (expired if over else standing).append(word)
-        return max(standing or expired, key=CAUTION.__getitem__, default=Readiness.GONE)
+        return max(standing or expired, key=CAUTION.__getitem__, default=Readiness.REMOVED)
 
     def _started_us(self, address: Address) -> int:
         """The latest start that any source tells of what listens there."""
         known = (source.at.get(address, {}) for source in self._sources.values())
-        return max((entry.endpoint.launched_us for here in known for entry in here.values()), default=0)
+        return max((entry.endpoint.started_us for here in known for entry in here.values()), default=0)
 
     def _note(self, address: Address) -> str | None:
         """A line where sources have begun to disagree on an address, or do so in another way; none twice."""
--- a/eiderhub/protocols/http1/client.py
+++ b/eiderhub/protocols/http1/client.py
@@ -6,8 +6,8 @@
 
 import httptools
 
-from eiderhub.interface import Load, Outcome
-from eiderhub.reports import read_load
+from eiderhub.interface import LoadReport, Outcome
+from eiderhub.load_reports import parse_load_report
 from eiderhub.sidecar.bounds import Budget
 from eiderhub.sidecar.clock import now_us
 from eiderhub.sidecar.seam import Link, Owner
@@ -33,11 +33,11 @@
     headers: list[tuple[bytes, bytes]]
     body: bytes
 
-    def load(self) -> Load | None:
+    def load(self) -> LoadReport | None:
         """What the endpoint says of its load, where the answer carries a report that can be read."""
         for name, value in self.headers:
             if name.lower() == b"srv-load":
-                return read_load(value.decode("latin-1"), "=")
+                return parse_load_report(value.decode("latin-1"), "=")
         return None
 
 
@@ -160,7 +160,7 @@
     if response.status in (503, 504):
         for name, value in response.headers:
             if name.lower() == b"srv-declined" and value.strip() == b"1":
-                return Outcome.FULL
+                return Outcome.REJECTED
     return Outcome.ERROR
 
 
--- a/eiderhub/protocols/thrift/answers.py
+++ b/eiderhub/protocols/thrift/answers.py
@@ -48,8 +48,8 @@
     except Malformed:
         return Outcome.ERROR
     if kind in shedding:
-        return Outcome.FULL
-    return Outcome.MOOT if kind == Failure.UNKNOWN_METHOD else Outcome.ERROR
+        return Outcome.REJECTED
+    return Outcome.NOT_EXECUTED if kind == Failure.UNKNOWN_METHOD else Outcome.ERROR
 
 
 # --- how our own answers are worded ---
--- a/eiderhub/protocols/thrift/client.py
+++ b/eiderhub/protocols/thrift/client.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any
 
-from eiderhub.interface import Load, Outcome
+from eiderhub.interface import LoadReport, Outcome
 from eiderhub.protocols.thrift import answers
 from eiderhub.protocols.thrift.convert import convert, with_seqid
 from eiderhub.protocols.thrift.frames import FrameReader, framed
@@ -29,7 +29,7 @@
         self.message = message
         self.header = header
 
-    def load(self) -> Load | None:
+    def load(self) -> LoadReport | None:
         """Thrift has no place for a report."""
         return None
 
@@ -201,7 +201,7 @@
         if not reusable:
             self.close()
         reply = Reply(message, header)
-        call.unknown = call.unknown or self.outcome(reply) is Outcome.MOOT
+        call.unknown = call.unknown or self.outcome(reply) is Outcome.NOT_EXECUTED
         self.owner.on_response(self, attempt, reply, reusable)
 
     def let_go(self) -> None:
--- a/eiderhub/routing/compile.py
+++ b/eiderhub/routing/compile.py
@@ -47,22 +47,22 @@
     parts = []
     changes: dict[str, object] = {}
     if pool is not None:
-        zones, kinds = _narrowed(grade.stays_in, pool.zones), _narrowed(grade.served_on, pool.kinds)
+        zones, kinds = _narrowed(grade.allowed_zones, pool.zones), _narrowed(grade.allowed_machine_kinds, pool.kinds)
         labels = grade.labels | pool.labels
-        changes |= {"stays_in": zones, "served_on": kinds, "labels": labels}
+        changes |= {"allowed_zones": zones, "allowed_machine_kinds": kinds, "labels": labels}
         for key, names in (("zones", zones), ("kinds", kinds), ("labels", labels or None)):
             if names is not None:
                 parts.append(f"{key}={','.join(sorted(names))}")
     if route is not None and 0 < route.deadline_us < grade.deadline_us:
         changes["deadline_us"] = route.deadline_us
-        changes["aim_us"] = min(grade.aim_us, route.deadline_us)
+        changes["objective_us"] = min(grade.objective_us, route.deadline_us)
         parts.append(f"deadline={route.deadline_us}us")
     attempts = (route.attempts if route is not None else 0) if rule.retries else 1
     if attempts:
         changes["max_attempts"] = attempts
         parts.append(f"attempts={attempts}")
-    if not rule.copies and grade.copies:
-        changes["copies"] = False
+    if not rule.copies and grade.may_hedge:
+        changes["may_hedge"] = False
         parts.append("copies=no")
     if not parts:
         return grade
--- a/eiderhub/settings.py
+++ b/eiderhub/settings.py
@@ -6,10 +6,10 @@
 from typing import Any
 
 from eiderhub.interface import (
+    DedupScope,
     Discovery,
     Effect,
     Goal,
-    Group,
     Limits,
     Prices,
     RequestClass,
@@ -63,7 +63,7 @@
         raise ValueError(f"{where}{renamed.get(name, name)}: {why}") from None
 
 
-def settings_from(setup: Any) -> Settings:
+def parse_settings(setup: Any) -> Settings:
     """Read the settings of `power_on`; unknown keys are skipped, absent optional ones take defaults."""
     number = (int, float)
     if not isinstance(setup, dict):
@@ -73,10 +73,10 @@
         where = f"Categories[{i}]."
         renamed = {
             "name": "Name",
-            "aim_us": "AimUs",
+            "objective_us": "AimUs",
             "deadline_us": "DeadlineUs",
-            "credit": "Credit",
-            "late_share": "LateShare",
+            "worth": "Credit",
+            "late_worth_share": "LateShare",
             "dedup_window_us": "DedupWindowUs",
         }
         effect = _choice(Effect, c, "Effect", where)
@@ -87,16 +87,16 @@
                 where,
                 renamed,
                 name=_get(c, "Name", str, where),
-                aim_us=_get(c, "AimUs", int, where),
+                objective_us=_get(c, "AimUs", int, where),
                 deadline_us=_get(c, "DeadlineUs", int, where),
                 effect=effect,
-                group=_choice(Group, c, "Group", where, None if keyed else "all"),
+                dedup_scope=_choice(DedupScope, c, "Group", where, None if keyed else "all"),
                 dedup_window_us=_get(c, "DedupWindowUs", int, where, None if keyed else 0),
-                credit=float(_get(c, "Credit", number, where, 1.0)),
-                late_share=float(_get(c, "LateShare", number, where, 0.0)),
+                worth=float(_get(c, "Credit", number, where, 1.0)),
+                late_worth_share=float(_get(c, "LateShare", number, where, 0.0)),
                 streaming=_get(c, "Streaming", bool, where, False),
-                stays_in=_names(c, "StaysIn", where),
-                served_on=_names(c, "ServedOn", where),
+                allowed_zones=_names(c, "StaysIn", where),
+                allowed_machine_kinds=_names(c, "ServedOn", where),
             )
         )
     tenants = []
@@ -126,11 +126,11 @@
         },
         max_attempts=_get(allowed, "MaxAttempts", int, "Allowed.", 3),
         max_retry_after_us=_get(allowed, "MaxRetryAfterUs", int, "Allowed.", 1_000_000),
-        second_copies=_get(allowed, "SecondCopies", bool, "Allowed.", False),
+        hedging=_get(allowed, "SecondCopies", bool, "Allowed.", False),
         may_cancel=_get(allowed, "MayCancel", bool, "Allowed.", False),
         conn_idle_us=_get(allowed, "ConnIdleUs", int, "Allowed.", 0),
         connect_timeout_us=_get(allowed, "ConnectTimeoutUs", int, "Allowed.", 250_000),
-        retry_after=_get(allowed, "RetryAfter", bool, "Allowed.", False),
+        may_send_retry_after=_get(allowed, "RetryAfter", bool, "Allowed.", False),
     )
     prices = Prices(
         cross_zone=float(_get(charges, "CrossZone", number, "Charges.", 0.0)),
@@ -140,17 +140,17 @@
         Rules,
         "Rules.",
         {
-            "cold_us": "ColdUs",
-            "cold_from": "ColdFrom",
+            "warm_up_us": "ColdUs",
+            "cold_capacity_share": "ColdFrom",
             "overload_factor": "OverloadFactor",
             "drain_grace_us": "DrainGraceUs",
-            "ask_every_us": "AskEveryUs",
+            "poll_interval_us": "AskEveryUs",
         },
-        cold_us=_get(figures, "ColdUs", int, "Rules.", 10_000_000),
-        cold_from=float(_get(figures, "ColdFrom", number, "Rules.", 0.1)),
+        warm_up_us=_get(figures, "ColdUs", int, "Rules.", 10_000_000),
+        cold_capacity_share=float(_get(figures, "ColdFrom", number, "Rules.", 0.1)),
         overload_factor=float(_get(figures, "OverloadFactor", number, "Rules.", 2.0)),
         drain_grace_us=_get(figures, "DrainGraceUs", int, "Rules.", 1_000_000),
-        ask_every_us=_get(figures, "AskEveryUs", int, "Rules.", 0) or 10_000_000,  # 0 where lists are pushed
+        poll_interval_us=_get(figures, "AskEveryUs", int, "Rules.", 0) or 10_000_000,  # 0 where lists are pushed
     )
     parts = _get(setup, "Goal", dict, "", {})
     weight = {key: float(_get(parts, key, number, "Goal.", 0.0)) for key in BY_WORTH + BY_CLASS}
@@ -158,8 +158,8 @@
         if value < 0:
             raise ValueError(f"Goal.{key}: must not be negative")
     goal = Goal(
-        by_worth=sum(weight[key] for key in BY_WORTH) if parts else 1.0,
-        by_class=sum(weight[key] for key in BY_CLASS),
+        worth_weight=sum(weight[key] for key in BY_WORTH) if parts else 1.0,
+        class_weight=sum(weight[key] for key in BY_CLASS),
     )
     tiers = _get(setup, "Tiers", list, "", [""])
     return _fields(  # type: ignore[no-any-return]
--- a/eiderhub/sidecar/config.py
+++ b/eiderhub/sidecar/config.py
@@ -12,7 +12,7 @@
 from eiderhub.interface import Settings
 from eiderhub.membership.endpoint_list import EndpointList, read_endpoint_list
 from eiderhub.routing.plan import Plan
-from eiderhub.settings import settings_from
+from eiderhub.settings import parse_settings
 from eiderhub.sidecar.bounds import Bounds
 
 SOCKETS, MEMORY_MB = 1024, 192  # where the configuration states no limit
@@ -99,7 +99,7 @@
     if not isinstance(document, dict):
         raise ConfigError("GW_CONFIG: must be an object")
     try:
-        settings = settings_from(document.get("settings"))
+        settings = parse_settings(document.get("settings"))
     except ValueError as error:
         raise ConfigError(f"settings: {error}") from None
     try:
--- a/eiderhub/sidecar/host.py
+++ b/eiderhub/sidecar/host.py
@@ -99,7 +99,7 @@
                 max(self.settings.rules.drain_grace_us, MIN_GRACE_US),
                 random.Random(config.seed),
                 self._place(),
-                self.settings.rules.ask_every_us,
+                self.settings.rules.poll_interval_us,
             ),
             lambda form, entries: self.heard(form, entries),
             self._doubt(),
@@ -110,7 +110,7 @@
         s = self.settings
         if s.discovery is Discovery.PUSH:
             return None
-        return WatchSuspicion(self._place(), s.balancers * s.tiers, s.rules.ask_every_us)
+        return WatchSuspicion(self._place(), s.balancers * s.tiers, s.rules.poll_interval_us)
 
     def _refused(self, endpoint: str) -> None:
         if self.watcher is not None:
@@ -289,7 +289,7 @@
         request.attempts.append(attempt)
         request.out += 1
         if request.answered or attempt.number >= self.settings.limits.max_attempts:
-            asyncio.get_running_loop().call_soon(attempt.end, Outcome.MOOT)
+            asyncio.get_running_loop().call_soon(attempt.end, Outcome.NOT_EXECUTED)
             return
         if until < request.due_us:
             attempt.alarm = Alarm(until, partial(attempt.drop, Outcome.TIMEOUT))
@@ -342,7 +342,7 @@
                 self.upstream.retire(missing)
         for endpoint, host, port in entries:
             if endpoint.readiness is Readiness.READY:
-                self.upstream.place(endpoint.id, host, port, endpoint.launched_us, endpoint.labels)
+                self.upstream.place(endpoint.id, host, port, endpoint.started_us, endpoint.labels)
             else:
                 self.upstream.retire(endpoint.id)
         self.listed = self.listed or bool(entries)
--- a/eiderhub/sidecar/seam.py
+++ b/eiderhub/sidecar/seam.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING, Any, Protocol, cast
 
-from eiderhub.interface import Load, Outcome
+from eiderhub.interface import LoadReport, Outcome
 
 if TYPE_CHECKING:
     from eiderhub.sidecar.bounds import Budget
@@ -29,7 +29,7 @@
 class Reply(Protocol):
     """A whole answer of an endpoint, as its protocol keeps it."""
 
-    def load(self) -> Load | None:
+    def load(self) -> LoadReport | None:
         """What the endpoint says of its load."""
 
 
@@ -180,7 +180,7 @@
 class Sent:
     """In place of a reply: a call that has none has left, its last byte included. Nothing can be learned of it."""
 
-    def load(self) -> Load | None:
+    def load(self) -> LoadReport | None:
         return None
 
 
--- a/eiderhub/sidecar/upstream.py
+++ b/eiderhub/sidecar/upstream.py
@@ -277,4 +277,4 @@
         """Nothing was written: the link is as it was."""
         if not link.busy:
             pool.rest(link)
-        asyncio.get_running_loop().call_soon(attempt.end, Outcome.MOOT)
+        asyncio.get_running_loop().call_soon(attempt.end, Outcome.NOT_EXECUTED)
--- a/eiderhub/wirehost.py
+++ b/eiderhub/wirehost.py
@@ -15,8 +15,8 @@
 
 from eiderhub.balancer import Balancer
 from eiderhub.interface import Endpoint, ListForm, Outcome, Readiness
-from eiderhub.reports import read_load
-from eiderhub.settings import settings_from
+from eiderhub.load_reports import parse_load_report
+from eiderhub.settings import parse_settings
 
 PAGES = 16  # manifests are numbered 0..15
 HINT_VALID = 1  # bit of an order's Options: the cost hint counts
@@ -172,7 +172,7 @@
         except ValueError:
             raise WireError("Setup is no JSON object") from None
         try:
-            settings = settings_from(setup)
+            settings = parse_settings(setup)
         except ValueError as error:
             raise WireError(f"Setup: {error}") from None
         try:
@@ -207,7 +207,7 @@
             _int(spent, "SpentUs"),
             _code(BOOLS, closed, "Closed"),
             _code(OUTCOMES, result, "Result"),
-            read_load(stats, ":"),
+            parse_load_report(stats, ":"),
         )
 
     def _wake(self, parts: list[str]) -> None:
--- a/tests/config/serving.py
+++ b/tests/config/serving.py
@@ -69,8 +69,8 @@
     """One endpoint, listed once for each set of facts that some class asks for."""
     found = [row("s-0", address, zone=config.settings.zone)]
     for i, grade in enumerate(config.plan.settings.classes if config.plan else ()):
-        zone = sorted(grade.stays_in)[0] if grade.stays_in else config.settings.zone
-        kind = sorted(grade.served_on)[0] if grade.served_on else "m"
+        zone = sorted(grade.allowed_zones)[0] if grade.allowed_zones else config.settings.zone
+        kind = sorted(grade.allowed_machine_kinds)[0] if grade.allowed_machine_kinds else "m"
         facts = dict(label.split("=", 1) for label in grade.labels)
         found.append(row(f"s-{i + 1}", address, zone=zone, machineType=kind, metadata=facts))
     return found
@@ -120,7 +120,7 @@
     begun = time.monotonic()
     answer = await read_message(reader)
     writer.close()
-    if answer.status in (502, 503, 504) and time.monotonic() - begun > way.grade.aim_us / 1e6 - MARGIN_S:
+    if answer.status in (502, 503, 504) and time.monotonic() - begun > way.grade.objective_us / 1e6 - MARGIN_S:
         return False
     assert (answer.status, answer.body) == (200, way.target.encode()), (way, answer.first, answer.body)
     return True
--- a/tests/config/test_directions.py
+++ b/tests/config/test_directions.py
@@ -14,7 +14,7 @@
 from eiderhub.config.load import ANYWHERE, Source, examine
 from eiderhub.routing.plan import plain
 from eiderhub.sidecar.config import ConfigError, config_from
-from tests.support import Host
+from tests.support import RecordingHost
 
 BASE: dict[str, Any] = json.loads((Path(__file__).parent.parent / "corpus" / "base.json").read_text())
 
@@ -32,7 +32,7 @@
         config = config_from(document, environ)
     except ConfigError:
         return False
-    Host(plain(config.settings).settings, [entry.endpoint for entry in config.known.entries])
+    RecordingHost(plain(config.settings).settings, [entry.endpoint for entry in config.known.entries])
     return True
 
 
--- a/tests/fleet/test_evidence.py
+++ b/tests/fleet/test_evidence.py
@@ -8,7 +8,7 @@
 from eiderhub.fleet.evidence import ALONE_FLOOR, FLOOR, MOST_ITEMS, MOST_SHARE, VOID_US, Board, Listed, parts
 from eiderhub.fleet.messages import Saw, digest
 from eiderhub.interface import ListForm, Outcome, Readiness
-from tests.support import Host, S, endpoints, settings
+from tests.support import RecordingHost, S, make_endpoints, make_settings
 
 POOL = [Listed(f"s-{i}", 0) for i in range(10)]
 SEEN = st.dictionaries(
@@ -127,16 +127,16 @@
 
 
 def test_hearsay_lowers_a_part_and_never_ejects_nor_warms() -> None:
-    host = Host(settings(balancers=1), endpoints(10))
-    bad = endpoints(10)[0].id
+    host = RecordingHost(make_settings(balancers=1), make_endpoints(10))
+    bad = make_endpoints(10)[0].id
     host.balancer.hearsay(host.now, {bad: 0.0, "unknown": 0.0})
     for _ in range(400):
         host.advance(S // 10)
         host.reply(host.order(), Outcome.OK)
-    hits = [sent[0] for sent in host.sent.values()]
+    hits = [sent[0] for sent in host.sent_to.values()]
     assert 0 < hits.count(bad) < 400 / 10 / 2  # called now and then, so that its recovery shows
     assert not host.balancer.ejected
-    cold = [e._replace(launched_us=host.now) for e in endpoints(10)]
+    cold = [e._replace(started_us=host.now) for e in make_endpoints(10)]
     host.balancer.discovery(host.now, ListForm.FULL, cold)
     assert host.balancer.endpoints[bad].peer_factor == 1.0  # a new process has its own name to make
     host.balancer.hearsay(host.now, {bad: 5.0})
--- a/tests/membership/test_consul.py
+++ b/tests/membership/test_consul.py
@@ -57,12 +57,12 @@
     row["Node"]["Meta"] = None
     row["Service"] |= {"Tags": ["kind=m1", "cell=5", "v2"], "Locality": {"Region": "sur", "Zone": "sur-b"}}
     endpoint = read(row).entries[0].endpoint
-    assert (endpoint.zone, endpoint.kind, endpoint.cell) == ("sur-b", "m4", 5)
+    assert (endpoint.zone, endpoint.machine_kind, endpoint.cell) == ("sur-b", "m4", 5)
 
 
 def test_what_meta_tells_of_a_service_stands_above_its_nodes() -> None:
     (near,), (far,) = read(instance(zone="near", cell="3", kind="m4")).entries, read(instance()).entries
-    assert (near.endpoint.id, near.endpoint.zone, near.endpoint.cell, near.endpoint.kind) == (
+    assert (near.endpoint.id, near.endpoint.zone, near.endpoint.cell, near.endpoint.machine_kind) == (
         "n1/web-1",
         "near",
         3,
--- a/tests/membership/test_merger.py
+++ b/tests/membership/test_merger.py
@@ -9,7 +9,7 @@
 from eiderhub.membership.endpoint_list import ListedEndpoint
 from eiderhub.membership.merger import CAUTION, Merger, Terms
 
-READY, DRAINING, GONE = Readiness.READY, Readiness.DRAINING, Readiness.GONE
+READY, DRAINING, GONE = Readiness.READY, Readiness.DRAINING, Readiness.REMOVED
 S = 1_000_000
 TERMS = [Terms("platform", 30 * S), Terms("consul", 10 * S), Terms("static", 0)]
 
@@ -73,7 +73,7 @@
     merger.tell("consul", 0, True, [entry("node/web", 80, zone="c", started_us=7)])
     step = merger.tell("platform", 1, True, [entry("s-1", 80, zone="p", started_us=5)])
     (change,) = step.changes
-    assert (change.endpoint.id, change.endpoint.zone, change.endpoint.launched_us) == ("node/web", "p", 7)
+    assert (change.endpoint.id, change.endpoint.zone, change.endpoint.started_us) == ("node/web", "p", 7)
     assert merger.tell("consul", 2, True, [entry("node/web", 80, zone="c", started_us=7)]).changes == []
 
 
--- a/tests/routing/test_plan.py
+++ b/tests/routing/test_plan.py
@@ -9,7 +9,7 @@
 from eiderhub.routing.plan import plain
 from eiderhub.routing.table import Route, read_pattern
 from eiderhub.routing.target import Asked
-from tests.support import MS, Host
+from tests.support import MS, RecordingHost
 
 LOOK = RequestClass("look", 1_000_000, 3_000_000, Effect.IDEMPOTENT)
 PAY = RequestClass("pay", 2_000_000, 3_000_000, Effect.AT_MOST_ONCE)
@@ -35,8 +35,13 @@
     made = plan(SETTINGS, [route], {"near": NEAR})
     grade = made.grade(asked("/stock/7"))
     assert grade is not None
-    assert (grade.variant_of, grade.deadline_us, grade.aim_us, grade.max_attempts) == ("look", 500_000, 500_000, 1)
-    assert grade.stays_in == frozenset(("a",))
+    assert (grade.variant_of, grade.deadline_us, grade.objective_us, grade.max_attempts) == (
+        "look",
+        500_000,
+        500_000,
+        1,
+    )
+    assert grade.allowed_zones == frozenset(("a",))
     assert made.grade(asked("/stock")) is None
     assert made.grade(asked("/look/a")) is LOOK
 
@@ -67,33 +72,33 @@
 def test_the_module_sends_a_variant_to_its_pool_alone(pool: PoolRule) -> None:
     made = plan(SETTINGS, [Route("r", "look", read_pattern("/x"), pool=pool.name)], {pool.name: pool})
     others = [endpoint(f"s{i}", "b", "rank=tin") for i in range(2, 9)]
-    host = Host(made.settings, [endpoint("s1", "a", "rank=gold"), *others])
+    host = RecordingHost(made.settings, [endpoint("s1", "a", "rank=gold"), *others])
     for _ in range(30):
         host.reply(host.order(made.variants[0].name), Outcome.OK)
         host.advance(50 * MS)
-    assert {sent[2] for sent in host.sends()} == {"s1"}
+    assert {sent[2] for sent in host.hand_offs()} == {"s1"}
 
 
 def test_the_attempts_of_a_route_bound_the_retries() -> None:
     made = plan(SETTINGS, [Route("r", "look", read_pattern("/x"), attempts=1)], {})
-    host = Host(made.settings, [endpoint("s1"), endpoint("s2")])
+    host = RecordingHost(made.settings, [endpoint("s1"), endpoint("s2")])
     bound, free = host.order(made.variants[0].name), host.order("look")
     for call in (bound, free):
         host.reply(call, Outcome.CONNECT_FAILED)
-    assert (len(host.sends(bound)), host.answers(bound)) == (1, ["shed"])
-    assert (len(host.sends(free)), host.answers(free)) == (2, [])
+    assert (len(host.hand_offs(bound)), host.final_answers(bound)) == (1, ["shed"])
+    assert (len(host.hand_offs(free)), host.final_answers(free)) == (2, [])
 
 
 def test_variants_change_while_calls_are_out() -> None:
     old = plan(SETTINGS, [Route("r", "look", read_pattern("/x"), pool="near")], {"near": NEAR})
     new = plan(SETTINGS, [Route("r", "look", read_pattern("/x"), attempts=2)], {})
-    host = Host(old.settings, [endpoint("s1"), endpoint("s2")])
+    host = RecordingHost(old.settings, [endpoint("s1"), endpoint("s2")])
     call = host.order(old.variants[0].name)
     host.balancer.adopt(host.now, new.variants)
     other = host.order(new.variants[0].name)
     assert old.variants[0].name in host.balancer.classes  # in use still
     host.reply(call, Outcome.CONNECT_FAILED)
-    assert (len(host.sends(call)), len(host.sends(other))) == (2, 1)
+    assert (len(host.hand_offs(call)), len(host.hand_offs(other))) == (2, 1)
     host.reply(call, Outcome.OK)
     host.balancer.adopt(host.now, new.variants)
     assert old.variants[0].name not in host.balancer.classes
--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -22,7 +22,7 @@
 from eiderhub.protocols.thrift import server as thrift_server
 from eiderhub.protocols.thrift.plan import Options
 from eiderhub.routing.plan import Plan
-from eiderhub.settings import settings_from
+from eiderhub.settings import parse_settings
 from eiderhub.sidecar.bounds import Bounds
 from eiderhub.sidecar.callers import Callers
 from eiderhub.sidecar.config import Address, Config
@@ -206,7 +206,7 @@
             seed=7,
             bounds=self.bounds,
             known=read_endpoint_list(json.loads(listing(1, True, *([] if self.consul else rows)))),
-            settings=settings_from(self.setup),
+            settings=parse_settings(self.setup),
             plan=self.plan,
         )
         self.host = Host(self.config)
--- a/tests/support.py
+++ b/tests/support.py
@@ -8,9 +8,9 @@
 
 from eiderhub.balancer import Balancer
 from eiderhub.interface import (
+    DedupScope,
     Effect,
     Endpoint,
-    Group,
     Limits,
     ListForm,
     Outcome,
@@ -24,32 +24,32 @@
 MS = 1000
 S = 1_000_000
 
-SAFE = RequestClass("look", 1 * S, 3 * S, Effect.IDEMPOTENT)
-KEYED = RequestClass("hold", 1 * S, 3 * S, Effect.DEDUPLICATED, Group.CELL, 2 * S)
-UNSAFE = RequestClass("pay", 2 * S, 5 * S, Effect.AT_MOST_ONCE)
+IDEMPOTENT = RequestClass("look", 1 * S, 3 * S, Effect.IDEMPOTENT)
+DEDUPLICATED = RequestClass("hold", 1 * S, 3 * S, Effect.DEDUPLICATED, DedupScope.CELL, 2 * S)
+AT_MOST_ONCE = RequestClass("pay", 2 * S, 5 * S, Effect.AT_MOST_ONCE)
 
 
-def settings(**changes: Any) -> Settings:
+def make_settings(**changes: Any) -> Settings:
     base = Settings(
-        classes=(SAFE, KEYED, UNSAFE),
+        classes=(IDEMPOTENT, DEDUPLICATED, AT_MOST_ONCE),
         balancers=4,
         zone="east",
         tenants=(Tenant("big", 0.6, 60.0), Tenant("small", 0.4, 40.0)),
         over_share_worth=0.1,
-        limits=Limits(max_attempts=4, retry_after=True, second_copies=True, may_cancel=True),
-        rules=Rules(cold_us=10 * S, cold_from=0.2, overload_factor=2.5),
+        limits=Limits(max_attempts=4, may_send_retry_after=True, hedging=True, may_cancel=True),
+        rules=Rules(warm_up_us=10 * S, cold_capacity_share=0.2, overload_factor=2.5),
     )
     return replace(base, **changes)
 
 
-def endpoints(count: int, zone: str = "east", start: int = 0, launched: int = 0) -> list[Endpoint]:
+def make_endpoints(count: int, zone: str = "east", start: int = 0, started_us: int = 0) -> list[Endpoint]:
     return [
-        Endpoint(f"10.0.{i // 250}.{i % 250}:80", zone, "std", i // 4, Readiness.READY, 1.0, launched)
+        Endpoint(f"10.0.{i // 250}.{i % 250}:80", zone, "std", i // 4, Readiness.READY, 1.0, started_us)
         for i in range(start, start + count)
     ]
 
 
-class Host:
+class RecordingHost:
     """Records actions as tuples; `advance` delivers due timers."""
 
     def __init__(
@@ -58,48 +58,48 @@
         entries: Iterable[Endpoint] = (),
         seed: int = 7,
         now: int = 1_000_000_000,
-        known: bool = False,
+        has_cached_list: bool = False,
     ) -> None:
         self.now = now
-        self.did: list[tuple[Any, ...]] = []
+        self.actions: list[tuple[Any, ...]] = []
         self.timers: list[tuple[int, str]] = []
-        self.sent: dict[str, list[str]] = {}
+        self.sent_to: dict[str, list[str]] = {}
         self.serial = 0
-        self.balancer = Balancer(chosen or settings(), seed, self)
-        self.balancer.start(now, known)
+        self.balancer = Balancer(chosen or make_settings(), seed, self)
+        self.balancer.start(now, has_cached_list)
         self.balancer.discovery(now, ListForm.CACHED, list(entries))
 
     # actions
     def hand_off(self, call: str, endpoint: str, max_wait_us: int) -> None:
-        self.did.append(("hand_off", call, endpoint, max_wait_us))
-        self.sent.setdefault(call, []).append(endpoint)
+        self.actions.append(("hand_off", call, endpoint, max_wait_us))
+        self.sent_to.setdefault(call, []).append(endpoint)
 
     def cancel(self, call: str, attempt: int) -> None:
-        self.did.append(("cancel", call, attempt))
+        self.actions.append(("cancel", call, attempt))
 
     def shed(self, call: str, wait_us: int) -> None:
-        self.did.append(("shed", call, wait_us))
+        self.actions.append(("shed", call, wait_us))
 
     def surrender(self, call: str) -> None:
-        self.did.append(("surrender", call))
+        self.actions.append(("surrender", call))
 
     def timer(self, delay_us: int, mark: str) -> None:
         self.timers.append((self.now + delay_us, mark))
 
     def tail(self, on: bool) -> None:
-        self.did.append(("tail", on))
+        self.actions.append(("tail", on))
 
     def disconnect(self, endpoint: str) -> None:
-        self.did.append(("disconnect", endpoint))
+        self.actions.append(("disconnect", endpoint))
 
     def write_log(self, text: str) -> None:
-        self.did.append(("write_log", text))
+        self.actions.append(("write_log", text))
 
     # driving
-    def order(self, grade: str = "look", tenant: str | None = "small", left: int = 3 * S) -> str:
+    def order(self, class_name: str = "look", tenant: str | None = "small", expires_in_us: int = 3 * S) -> str:
         self.serial += 1
         call = f"{self.serial:016x}"
-        self.balancer.order(self.now, call, grade, tenant, left, None)
+        self.balancer.order(self.now, call, class_name, tenant, expires_in_us, None)
         return call
 
     def reply(
@@ -110,13 +110,13 @@
         attempt: int = -1,
         closed: bool | None = None,
     ) -> None:
-        number = attempt if attempt >= 0 else len(self.sent[call]) - 1
+        number = attempt if attempt >= 0 else len(self.sent_to[call]) - 1
         done = outcome is Outcome.OK if closed is None else closed
-        self.balancer.reply(self.now, call, number, self.sent[call][number], spent, done, outcome)
+        self.balancer.reply(self.now, call, number, self.sent_to[call][number], spent, done, outcome)
 
-    def answer_all(self, spent: int = 100 * MS) -> None:
+    def complete_all(self, spent: int = 100 * MS) -> None:
         """Serve the calls that are out."""
-        for call in [c for c in self.sent if c in self.balancer.calls]:
+        for call in [c for c in self.sent_to if c in self.balancer.calls]:
             self.reply(call, Outcome.OK, spent=spent)
 
     def advance(self, by: int) -> None:
@@ -128,8 +128,8 @@
             self.balancer.wake(self.now, due[1])
         self.now = end
 
-    def answers(self, call: str) -> list[str]:
-        return [d[0] for d in self.did if d[0] in ("shed", "surrender") and d[1] == call]
+    def final_answers(self, call: str) -> list[str]:
+        return [d[0] for d in self.actions if d[0] in ("shed", "surrender") and d[1] == call]
 
-    def sends(self, call: str | None = None) -> list[tuple[Any, ...]]:
-        return [d for d in self.did if d[0] == "hand_off" and (call is None or d[1] == call)]
+    def hand_offs(self, call: str | None = None) -> list[tuple[Any, ...]]:
+        return [d for d in self.actions if d[0] == "hand_off" and (call is None or d[1] == call)]
--- a/tests/test_cap.py
+++ b/tests/test_cap.py
@@ -6,10 +6,10 @@
 
 from eiderhub.balancer import START_CALLS, SURE_CALLS
 from eiderhub.interface import ListForm, Outcome, Readiness
-from tests.support import MS, Host, S, endpoints, settings
+from tests.support import MS, RecordingHost, S, make_endpoints, make_settings
 
 
-def play(host: Host, seconds: float, spent: int = 100 * MS) -> None:
+def play(host: RecordingHost, seconds: float, spent: int = 100 * MS) -> None:
     """A steady load, each call answered after its time."""
     out: list[tuple[int, str]] = []
     end = host.now + int(seconds * S)
@@ -19,15 +19,15 @@
         for late in sorted(o for o in out if o[0] <= host.now):
             out.remove(late)
             host.reply(late[1], Outcome.OK, spent=spent)
-        out += [(host.now + spent, d[1]) for d in host.sends()]
-        host.did.clear()
+        out += [(host.now + spent, d[1]) for d in host.hand_offs()]
+        host.actions.clear()
     for _, call in out:
         host.reply(call, Outcome.OK, spent=spent)
 
 
-def fleet(count: int = 6) -> tuple[Host, list[str]]:
-    listed = endpoints(count)
-    host = Host(settings(), listed)
+def fleet(count: int = 6) -> tuple[RecordingHost, list[str]]:
+    listed = make_endpoints(count)
+    host = RecordingHost(make_settings(), listed)
     play(host, 12)
     return host, [e.id for e in listed]
 
@@ -38,14 +38,14 @@
     limit = host.balancer.candidate_sets[0].local.limit
     before = limit.cap
     calls = [host.order() for _ in range(20)]
-    gone = [e._replace(readiness=Readiness.GONE) for e in endpoints(6)]
+    gone = [e._replace(readiness=Readiness.REMOVED) for e in make_endpoints(6)]
     host.balancer.discovery(host.now, ListForm.DELTA, gone)
     assert limit.cap <= SURE_CALLS * limit.listed  # at once: those that are left bear so much on any day
-    left = [d[2] for c in calls for d in host.sends(c) if d[2] in ids[6:]]
+    left = [d[2] for c in calls for d in host.hand_offs(c) if d[2] in ids[6:]]
     assert 0 < len(left) < 20
     assert limit.in_flight == len(left)
     for _ in range(3):  # held calls go out as others end
-        host.answer_all()
+        host.complete_all()
     assert not host.balancer.calls
     assert limit.in_flight == 0
     each = limit.endpoint_cap
@@ -60,11 +60,11 @@
     limit = host.balancer.candidate_sets[0].local.limit
     before = limit.cap
     for left in (1, 2):
-        gone = [e._replace(readiness=Readiness.DRAINING) for e in endpoints(left)]
+        gone = [e._replace(readiness=Readiness.DRAINING) for e in make_endpoints(left)]
         host.balancer.discovery(host.now, ListForm.DELTA, gone)
         play(host, 0.5)
         assert limit.cap >= 0.9 * before
-    host.balancer.discovery(host.now, ListForm.DELTA, endpoints(2))
+    host.balancer.discovery(host.now, ListForm.DELTA, make_endpoints(2))
     assert limit.cap >= 0.9 * before
 
 
@@ -72,7 +72,7 @@
     host, _ = fleet(6)
     limit = host.balancer.candidate_sets[0].local.limit
     before = limit.endpoint_cap * limit.fair
-    host.balancer.discovery(host.now, ListForm.DELTA, endpoints(6, start=6, launched=host.now))
+    host.balancer.discovery(host.now, ListForm.DELTA, make_endpoints(6, start=6, started_us=host.now))
     host.order()
     assert limit.open == pytest.approx((6 + 6 * 0.2) / 12, rel=0.02)
     assert before * 0.4 < limit.cap < before * 1.25
@@ -94,11 +94,11 @@
         for late in sorted(o for o in out if o[0] <= host.now):
             out.remove(late)
             host.reply(late[1], Outcome.OK, spent=(400 if late[2] in slow else 100) * MS)
-        for _, call, endpoint, _ in host.sends():
+        for _, call, endpoint, _ in host.hand_offs():
             longest = max(longest, host.now - dry[endpoint])
             dry[endpoint] = host.now
             out.append((host.now + (400 if endpoint in slow else 100) * MS, call, endpoint))
-        host.did.clear()
+        host.actions.clear()
     assert max(longest, *(host.now - d for d in dry.values())) < 3 * S
 
 
@@ -113,11 +113,11 @@
     state = host.balancer.endpoints[ids[0]]
     for _ in range(200):
         call = host.order()
-        if host.sent.get(call, [""])[-1] == ids[0]:
+        if host.sent_to.get(call, [""])[-1] == ids[0]:
             host.reply(call, outcome)
         if state.ejected_until:
             break
-        host.answer_all()
+        host.complete_all()
         host.advance(20 * MS)
     host.advance(100 * MS)
     host.order()
@@ -132,7 +132,7 @@
     """Found on churn days: a process that ends resets what it holds; spoilt answers come one by one."""
     host, ids = fleet()
     for call in [host.order() for _ in range(12)]:
-        if host.sent.get(call, [""])[-1] == ids[0]:
+        if host.sent_to.get(call, [""])[-1] == ids[0]:
             host.advance(apart)
             host.reply(call, Outcome.RESET)
     state = host.balancer.endpoints[ids[0]]
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -13,24 +13,27 @@
 from eiderhub.balancer import TokenBuckets
 from eiderhub.interface import Discovery, Limits, ListForm, Outcome, Prices, Rules, Tenant
 from tests.sidecar_support import Sidecar, ready, run
-from tests.support import MS, Host, S, endpoints, settings
+from tests.support import MS, RecordingHost, S, make_endpoints, make_settings
 
 FLEET = 200
 NOW = 1_000_000_000
 
 
-def copies(some: int = FLEET, of: int = FLEET, **changes: object) -> list[Host]:
+def copies(some: int = FLEET, of: int = FLEET, **changes: object) -> list[RecordingHost]:
     """Some of the copies of a fleet, each with the same sixty endpoints."""
-    chosen = settings(balancers=of, **changes)
-    return [Host(replace(chosen, rank=i), endpoints(60), seed=1000 + i, now=NOW, known=True) for i in range(some)]
+    chosen = make_settings(balancers=of, **changes)
+    return [
+        RecordingHost(replace(chosen, rank=i), make_endpoints(60), seed=1000 + i, now=NOW, has_cached_list=True)
+        for i in range(some)
+    ]
 
 
-def asked_at(host: Host, until: int, answer: ListForm) -> list[int]:
+def asked_at(host: RecordingHost, until: int, answer: ListForm) -> list[int]:
     """When a copy asks discovery, each call being answered so and at once."""
     found = []
     while True:
-        if ("tail", True) in host.did:
-            host.did.remove(("tail", True))
+        if ("tail", True) in host.actions:
+            host.actions.remove(("tail", True))
             found.append(host.now - NOW)
             host.balancer.discovery(host.now, answer, [])
         due = min((at for at, _ in host.timers), default=until + 1)
@@ -41,33 +44,35 @@
 
 def test_first_questions_after_a_shared_start_are_spread() -> None:
     """Seen on the calm day: 138 of 270 sidecars were turned away by discovery in the first second."""
-    first = [asked_at(host, NOW + 10 * S, ListForm.DELTA)[0] for host in copies(discovery=Discovery.ASK)]
+    first = [asked_at(host, NOW + 10 * S, ListForm.DELTA)[0] for host in copies(discovery=Discovery.POLL)]
     tenths = Counter(at // (100 * MS) for at in first)
     assert max(tenths.values()) < FLEET / 6  # a second for two hundred: twenty in a tenth of it, and chance
     assert max(first) < S
 
 
 def test_a_copy_that_knows_no_list_asks_at_once() -> None:
-    host = Host(settings(balancers=FLEET, discovery=Discovery.ASK), now=NOW)
+    host = RecordingHost(make_settings(balancers=FLEET, discovery=Discovery.POLL), now=NOW)
     assert asked_at(host, NOW + S, ListForm.DELTA) == [0]
 
 
 def test_a_copy_that_is_turned_away_asks_again_within_what_the_settings_give() -> None:
     """Its list counts as told anew four times so long after a failed call."""
     every = 2 * S
-    host = Host(settings(discovery=Discovery.ASK, rules=Rules(ask_every_us=every)), endpoints(4), now=NOW)
+    host = RecordingHost(
+        make_settings(discovery=Discovery.POLL, rules=Rules(poll_interval_us=every)), make_endpoints(4), now=NOW
+    )
     asked = asked_at(host, NOW + 60 * S, ListForm.FAILED)
     assert max(later - at for at, later in itertools.pairwise(asked)) <= 1.5 * every
 
 
 def test_copies_that_discovery_turns_away_ask_ever_less_and_not_together() -> None:
-    hosts = copies(discovery=Discovery.ASK)
+    hosts = copies(discovery=Discovery.POLL)
     asked = [at for host in hosts for at in asked_at(host, NOW + 60 * S, ListForm.FAILED)]
     late = Counter(at // (100 * MS) for at in asked if at > 20 * S)
     assert sum(late.values()) / 40 < FLEET / 7  # a second: the longest wait is 8 s, halved to one and a half times
     assert max(late.values()) < 3 * FLEET / 70  # in a tenth of a second: no step of all
     for host in hosts[:20]:  # what it knows serves meanwhile
-        assert host.sends(host.order())
+        assert host.hand_offs(host.order())
 
 
 def test_a_quiet_copy_finds_the_endpoint_that_fails_with_six_calls_a_minute() -> None:
@@ -79,9 +84,9 @@
         for number in range(120):
             host.advance(10 * S)
             call = host.order()
-            to = host.sent[call][0]
+            to = host.sent_to[call][0]
             host.reply(call, Outcome.ERROR if to == members[0].id else Outcome.OK)
-            if len(host.sent[call]) == 2:  # a safe call that met it goes on to another
+            if len(host.sent_to[call]) == 2:  # a safe call that met it goes on to another
                 host.reply(call, Outcome.OK)
             if number >= 30:
                 first[to == members[0].id] += 1
@@ -93,9 +98,9 @@
 
     Each copy alone has a small part to give, and chance decides which of them gives it first.
     """
-    rules = Rules(cold_us=9 * S, cold_from=0.32, overload_factor=4.0)
+    rules = Rules(warm_up_us=9 * S, cold_capacity_share=0.32, overload_factor=4.0)
     hosts = copies(rules=rules, limits=Limits(max_attempts=4))
-    cold = endpoints(60)[7]
+    cold = make_endpoints(60)[7]
     hosts = [h for h in hosts if any(e.id == cold.id for e in h.balancer.candidate_sets[0].local.subset.members)]
     chance = random.Random(5)
     sent: list[int] = []
@@ -108,15 +113,15 @@
                 host.reply(heapq.heappop(ends)[1], Outcome.OK)
             if host.now > NOW + 10 * S and not told:
                 told = True
-                news = [cold._replace(launched_us=NOW + 10 * S)]
+                news = [cold._replace(started_us=NOW + 10 * S)]
                 host.balancer.discovery(host.now, ListForm.DELTA, news)
             host.order()
-            for call in itertools.islice(host.sent, begun, None):  # this one, or what was held before it
+            for call in itertools.islice(host.sent_to, begun, None):  # this one, or what was held before it
                 heapq.heappush(ends, (host.now + int(chance.uniform(0.1, 0.3) * S), call))
-                if told and host.sent[call][0] == cold.id:
+                if told and host.sent_to[call][0] == cold.id:
                     sent.append(host.now)
-            begun = len(host.sent)
-    bears = rules.overload_factor * rules.cold_from * FLEET * 4.0 / 60  # a second, as it starts
+            begun = len(host.sent_to)
+    bears = rules.overload_factor * rules.cold_capacity_share * FLEET * 4.0 / 60  # a second, as it starts
     most = max(sum(at <= other < at + S for other in sent) for at in sent)
     assert 0 < most < bears + 3 * math.sqrt(bears) + 3
 
@@ -126,8 +131,8 @@
 
     Cold from 0.4 to 0.6 meanwhile, 36 of 60 have the capacity of 18 warm ones beside 24: a part of 0.43.
     """
-    rules = Rules(cold_us=12 * S, cold_from=0.4, overload_factor=3.0)
-    fresh = {e.id: e._replace(launched_us=NOW + 10 * S) for e in endpoints(36)}
+    rules = Rules(warm_up_us=12 * S, cold_capacity_share=0.4, overload_factor=3.0)
+    fresh = {e.id: e._replace(started_us=NOW + 10 * S) for e in make_endpoints(36)}
     met: Counter[bool] = Counter()
     for host in copies(8, of=30, rules=rules, limits=Limits(max_attempts=4), prices=Prices(handshake=0.06)):
         ends: list[tuple[int, str]] = []
@@ -140,11 +145,11 @@
             if host.now > NOW + 10 * S and not told:
                 told = True
                 host.balancer.discovery(host.now, ListForm.DELTA, list(fresh.values()))
-            call = host.order(left=5 * S)
-            if call in host.sent:
+            call = host.order(expires_in_us=5 * S)
+            if call in host.sent_to:
                 heapq.heappush(ends, (host.now + 500 * MS, call))
                 if told:
-                    met[host.sent[call][0] in fresh] += 1
+                    met[host.sent_to[call][0] in fresh] += 1
     assert 0.3 < met[True] / met.total() < 0.43
 
 
@@ -164,11 +169,11 @@
             while ends and ends[0][0] <= host.now:
                 end, call = heapq.heappop(ends)
                 host.reply(call, Outcome.OK)
-                free.setdefault(host.sent[call][0], []).append(end)
+                free.setdefault(host.sent_to[call][0], []).append(end)
             call = host.order()
-            if not host.sends(call):
+            if not host.hand_offs(call):
                 continue
-            to = host.sent[call][0]
+            to = host.sent_to[call][0]
             idle = [end for end in free.get(to, []) if host.now - end < 4 * S]
             made += not idle
             sends += 1
@@ -192,7 +197,7 @@
 
     The small tenants, which ask for four fifths of their shares of the whole; and the large one, for three times it.
     """
-    buckets = TokenBuckets(settings(tenants=TENANTS, balancers=10), 0, 0)
+    buckets = TokenBuckets(make_settings(tenants=TENANTS, balancers=10), 0, 0)
     rates = {t.name: t.quota_per_s / 10 * hotness * (3.0 if t.name == "big" else 0.8) for t in TENANTS}
     chance = random.Random(3)
     over: Counter[bool] = Counter()  # by whether it is the large one
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -9,15 +9,15 @@
 from hypothesis import strategies as st
 
 from benchmarks.reports import play
-from eiderhub.interface import Load, Outcome
+from eiderhub.interface import LoadReport, Outcome
+from eiderhub.load_reports import parse_load_report
 from eiderhub.policy.load_weight import MAX_FACTOR, LoadWeight, mean_busy
-from eiderhub.reports import read_load
 from tests.sidecar_support import Sidecar, run
-from tests.support import MS, Host, endpoints, settings
+from tests.support import MS, RecordingHost, make_endpoints, make_settings
 
 CASES = [
-    ("cpu_share:0.25,svc_ms:40,failed_ps:0", ":", Load(0.25)),
-    ("util=0.61,inflight=7", "=", Load(0.61)),
+    ("cpu_share:0.25,svc_ms:40,failed_ps:0", ":", LoadReport(0.25)),
+    ("util=0.61,inflight=7", "=", LoadReport(0.61)),
     ("latency_ms=12.5", "=", None),
     ("-", ":", None),
     ("", "=", None),
@@ -31,15 +31,15 @@
 ]
 
 
-@pytest.mark.parametrize(("text", "between", "expected"), CASES)
-def test_reports_are_read_and_noise_counts_as_not_told(text: str, between: str, expected: Load | None) -> None:
-    assert read_load(text, between) == expected
+@pytest.mark.parametrize(("text", "separator", "expected"), CASES)
+def test_reports_are_read_and_noise_counts_as_not_told(text: str, separator: str, expected: LoadReport | None) -> None:
+    assert parse_load_report(text, separator) == expected
 
 
 @given(st.text(max_size=300), st.sampled_from((":", "=")))
-def test_no_text_of_a_peer_breaks_the_reader(text: str, between: str) -> None:
-    found = read_load(text, between)
-    assert found is None or 0.0 <= found.busy <= 1e9
+def test_no_text_of_a_peer_breaks_the_reader(text: str, separator: str) -> None:
+    found = parse_load_report(text, separator)
+    assert found is None or 0.0 <= found.busy_share <= 1e9
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 1e9), st.none() | st.floats(0.0, 1.0)), max_size=200))
@@ -68,7 +68,7 @@
 
 def fleet_shares(reports: bool) -> float:
     """The share of sends of a slow half of a fleet, whose calls take as long as the others' in the tiers behind."""
-    host = Host(settings(), endpoints(6), seed=3)
+    host = RecordingHost(make_settings(), make_endpoints(6), seed=3)
     slow = set(sorted(host.balancer.endpoints)[:3])
     chance = random.Random(1)
     sent = 0
@@ -76,14 +76,14 @@
     for step in range(900):
         host.advance(50 * MS)
         call = host.order("look", tenant="big")
-        for out in [c for c in host.sent if c in host.balancer.calls][:-2]:
-            endpoint = host.sent[out][-1]
+        for out in [c for c in host.sent_to if c in host.balancer.calls][:-2]:
+            endpoint = host.sent_to[out][-1]
             busy = (0.9 if endpoint in slow else 0.3) + 0.001 * step + 0.01 * chance.random()
-            load = Load(min(busy, 1.0)) if reports else None
+            load = LoadReport(min(busy, 1.0)) if reports else None
             host.balancer.reply(host.now, out, 0, endpoint, 100 * MS, True, Outcome.OK, load)
-        if step > 600 and host.sends(call):
+        if step > 600 and host.hand_offs(call):
             total += 1
-            sent += host.sent[call][-1] in slow
+            sent += host.sent_to[call][-1] in slow
     return sent / total
 
 
@@ -92,30 +92,30 @@
     assert fleet_shares(reports=True) < 0.35 < 0.42 < fleet_shares(reports=False)
 
 
-def crowd(host: Host, busy: float | None, seconds: int, spent: int) -> float:
+def crowd(host: RecordingHost, busy: float | None, seconds: int, spent: int) -> float:
     """Keep the instance at its cap for some seconds and return the cap."""
     for step in range(seconds * 20):
         host.advance(50 * MS)
         for _ in range(4):
             host.order("look", tenant="big")
-        load = None if busy is None else Load(busy + 0.0001 * (step % 2))
-        for out in [c for c in host.sent if c in host.balancer.calls]:
-            host.balancer.reply(host.now, out, 0, host.sent[out][-1], spent, True, Outcome.OK, load)
+        load = None if busy is None else LoadReport(busy + 0.0001 * (step % 2))
+        for out in [c for c in host.sent_to if c in host.balancer.calls]:
+            host.balancer.reply(host.now, out, 0, host.sent_to[out][-1], spent, True, Outcome.OK, load)
     return host.balancer.candidates["look"].local.limit.endpoint_cap
 
 
 def test_the_cap_falls_where_cores_are_reported_full_before_latencies_show_it() -> None:
     """Found on a second deployment: all endpoints of a tier tipped over under a cap that latencies had left."""
-    assert crowd(Host(entries=endpoints(4)), 0.99, 20, 100 * MS) < 7.0
-    assert crowd(Host(entries=endpoints(4)), None, 20, 100 * MS) >= 7.0
+    assert crowd(RecordingHost(entries=make_endpoints(4)), 0.99, 20, 100 * MS) < 7.0
+    assert crowd(RecordingHost(entries=make_endpoints(4)), None, 20, 100 * MS) >= 7.0
 
 
 def test_slow_calls_at_idle_endpoints_wait_behind_them_and_cut_no_cap() -> None:
     """Found on a second deployment: calls that waited two tiers behind had half of a quiet start refused."""
     slow = 400 * MS  # past the target of a class wanted within a second, if the endpoint itself were crowded
-    waits = Host(entries=endpoints(4))
+    waits = RecordingHost(entries=make_endpoints(4))
     crowd(waits, 0.3, 10, 150 * MS)
-    crowded = Host(entries=endpoints(4))
+    crowded = RecordingHost(entries=make_endpoints(4))
     crowd(crowded, None, 10, 150 * MS)
     assert crowd(waits, 0.3, 10, slow) > crowd(crowded, None, 10, slow)
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -298,11 +298,11 @@
     started_ms = time.time_ns() // 1_000_000 - 2000
     document = json.loads(listing(1, True, row("s-0", "127.0.0.1:80", started_ms=started_ms)))
     first, second = (read_endpoint_list(document).entries[0].endpoint for _ in range(2))
-    assert first.launched_us == second.launched_us  # a change would look like another restart
-    assert abs(now_us() - first.launched_us - 2_000_000) < 1_000_000
+    assert first.started_us == second.started_us  # a change would look like another restart
+    assert abs(now_us() - first.started_us - 2_000_000) < 1_000_000
     assert first.readiness is Readiness.READY
     long_ago = json.loads(listing(1, True, row("s-0", "127.0.0.1:80")))
-    assert read_endpoint_list(long_ago).entries[0].endpoint.launched_us == 0
+    assert read_endpoint_list(long_ago).entries[0].endpoint.started_us == 0
 
 
 def test_alarms_never_ring_early() -> None:
--- a/tests/test_smuggling.py
+++ b/tests/test_smuggling.py
@@ -8,7 +8,7 @@
 
 from eiderhub.routing.compile import PoolRule, plan
 from eiderhub.routing.table import Route, read_pattern
-from eiderhub.settings import settings_from
+from eiderhub.settings import parse_settings
 from tests.sidecar_support import SETUP, Sidecar, run
 
 OWN = "Host: a\r\nReq-Id: 1\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 2000\r\n"
@@ -80,7 +80,7 @@
     run(test())
 
 
-SETTINGS = settings_from(SETUP)
+SETTINGS = parse_settings(SETUP)
 PLAN = plan(
     SETTINGS,
     [
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from eiderhub.interface import Discovery, Effect, Group
-from eiderhub.settings import settings_from
+from eiderhub.interface import DedupScope, Discovery, Effect
+from eiderhub.settings import parse_settings
 from eiderhub.wirehost import WireError, WireHost
 
 
@@ -183,20 +183,20 @@
 
 
 def test_settings_are_read_and_unknown_keys_skipped() -> None:
-    read = settings_from(setup())
+    read = parse_settings(setup())
     assert read.classes[1].effect is Effect.DEDUPLICATED
-    assert read.classes[1].group is Group.ZONE
+    assert read.classes[1].dedup_scope is DedupScope.ZONE
     assert (read.rank, read.balancers, read.tiers, read.zone) == (1, 2, 2, "east")
     assert read.prices.cross_zone == 0.1
     assert read.discovery is Discovery.PUSH
-    assert (read.goal.by_worth, read.goal.by_class) == (0.5, 0.5)
-    assert read.classes[0].stays_in is None
-    assert read.classes[1].stays_in == frozenset(("east",))
-    assert read.classes[1].served_on == frozenset(("std",))
+    assert (read.goal.worth_weight, read.goal.class_weight) == (0.5, 0.5)
+    assert read.classes[0].allowed_zones is None
+    assert read.classes[1].allowed_zones == frozenset(("east",))
+    assert read.classes[1].allowed_machine_kinds == frozenset(("std",))
     assert read.limits.conn_idle_us == 9_000_000
-    bare = settings_from({"Categories": setup()["Categories"][:1]})
+    bare = parse_settings({"Categories": setup()["Categories"][:1]})
     assert bare.tenants == ()
-    assert bare.limits.second_copies is False
+    assert bare.limits.hedging is False
 
 
 @pytest.mark.parametrize(
@@ -220,4 +220,4 @@
 )
 def test_impossible_settings_name_their_key(changes: dict[str, Any], key: str) -> None:
     with pytest.raises(ValueError, match=key):
-        settings_from(setup(**changes))
+        parse_settings(setup(**changes))
