--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -17,8 +17,8 @@
 from eiderhub.routing.compile import plan
 from eiderhub.routing.plan import Plan, plain
 from eiderhub.routing.table import Route, read_pattern
-from eiderhub.sidecar.bounds import Budget
 from eiderhub.sidecar.callers import Callers
+from eiderhub.sidecar.resource_limits import ByteBudget
 
 ROUTES = 1000
 ROUNDS = 300
@@ -38,7 +38,7 @@
 def spent(server: Server, host: Any, chosen: Plan, asked: list[Incoming]) -> float:
     """Microseconds for one request."""
     host.plan = chosen
-    server.callers.open_ids.clear()
+    server.callers.open_request_ids.clear()
     caller = Mock()
     begun = time.perf_counter()
     for incoming in asked:
@@ -48,7 +48,7 @@
 
 def main() -> None:
     host = Mock(settings=SETTINGS)
-    server = Server(host, Callers(100, 3.0, Budget(1 << 20)))
+    server = Server(host, Callers(100, 3.0, ByteBudget(1 << 20)))
     routes = [Route(f"r{i}", "look", read_pattern(f"/look/part-{i}/{{item}}")) for i in range(ROUTES)]
     plans = {"no routes": plain(SETTINGS), f"{ROUTES} routes": plan(SETTINGS, routes, {})}
     asked = requests()
--- a/eiderhub/config/explain.py
+++ b/eiderhub/config/explain.py
@@ -101,9 +101,9 @@
         Fact("the sidecar", "is named", config.name, True),
         Fact("the sidecar", "listens on", _address(config.listen), True),
         Fact("the sidecar", "asks for endpoints at", _address(config.discovery) or "nobody", False),
-        Fact("the sidecar", "holds for others at most", show_size(config.bounds.held), True),
-        Fact("the sidecar", "has connections of callers", str(config.bounds.callers), True),
-        Fact("the sidecar", "has connections to endpoints", str(config.bounds.endpoints), True),
+        Fact("the sidecar", "holds for others at most", show_size(config.bounds.buffered_bytes), True),
+        Fact("the sidecar", "has connections of callers", str(config.bounds.caller_connections), True),
+        Fact("the sidecar", "has connections to endpoints", str(config.bounds.endpoint_connections), True),
         Fact("a request that no route takes", "goes by", plan.default, False),
     ]
     if config.thrift is not None:
--- a/eiderhub/config/sidecar_file.py
+++ b/eiderhub/config/sidecar_file.py
@@ -28,7 +28,7 @@
     wrong,
 )
 from eiderhub.schema.units import show_duration
-from eiderhub.sidecar.bounds import ANSWER_MARGIN_US, BASE_MB, LEAST_SOCKETS, OWN_SOCKETS
+from eiderhub.sidecar.resource_limits import ANSWER_MARGIN_US, BASE_MEMORY_MB, MIN_SOCKETS, RESERVED_SOCKETS
 
 LITTLE_MB = 32  # from here on bodies of 64 KiB have room beside the process itself
 SHARES_MOST = 1.01  # shares are rounded when they are written down
@@ -384,10 +384,10 @@
     limits = document.get("limits") or {}
     memory, sockets = limits.get("memory_mb", 192.0), limits.get("sockets", 1024)
     spot = root / "limits"
-    if memory < BASE_MB:
+    if memory < BASE_MEMORY_MB:
         (spot / "memory_mb").error(
             "memory",
-            f"{memory:g} MB; the process alone takes {BASE_MB} MB with its connections",
+            f"{memory:g} MB; the process alone takes {BASE_MEMORY_MB} MB with its connections",
             "It would be killed before long",
             f"Give it {LITTLE_MB} MB or more",
         )
@@ -395,12 +395,12 @@
         (spot / "memory_mb").warn(
             "memory", f"{memory:g} MB", "Bodies are turned away with 503 early", f"Give it {LITTLE_MB} MB or more"
         )
-    if sockets < LEAST_SOCKETS:
+    if sockets < MIN_SOCKETS:
         (spot / "sockets").error(
             "descriptors",
-            f"{sockets} descriptors, {OWN_SOCKETS} of them for the process itself",
+            f"{sockets} descriptors, {RESERVED_SOCKETS} of them for the process itself",
             "Callers and endpoints would be cut off in any burst",
-            f"Allow {LEAST_SOCKETS} or more",
+            f"Allow {MIN_SOCKETS} or more",
         )
 
 
--- a/eiderhub/fleet/node.py
+++ b/eiderhub/fleet/node.py
@@ -20,7 +20,7 @@
 from eiderhub.fleet.options import Options
 from eiderhub.fleet.protocol import Event, Fleet, described
 from eiderhub.interface import Outcome
-from eiderhub.sidecar.clock import UNIX_OFFSET_US, Alarm, now_us
+from eiderhub.sidecar.clock import UNIX_OFFSET_US, Timer, now_us
 
 READS_PER_S = 2000  # datagrams taken from the kernel: one from a stranger costs some 2 us, one that is read some 60
 READ_BURST = 64  # at one turn of the loop: 4 ms at the worst
@@ -36,7 +36,7 @@
 class Endpoints(Protocol):
     """The host, as far as evidence goes."""
 
-    def listed_now(self) -> list[tuple[str, int]]:
+    def ready_endpoints(self) -> list[tuple[str, int]]:
         """Endpoints that are ready: their ids and starts, on the module's clock."""
 
     def hearsay(self, parts: Mapping[str, float]) -> None: ...
@@ -55,7 +55,7 @@
         )  # fmt: skip
         self.journal = Journal(options.folder) if options.folder else None
         self._loop = asyncio.get_running_loop()
-        self._alarm: Alarm | None = None
+        self._alarm: Timer | None = None
         self._tokens = float(READ_BURST)
         self._counted_us = now_us()
         self._resting: asyncio.TimerHandle | None = None
@@ -105,7 +105,7 @@
     # --- time ---
 
     def _rearm(self) -> None:
-        self._alarm = Alarm(self.fleet.due_us(), self._tick)
+        self._alarm = Timer(self.fleet.due_us(), self._tick)
 
     def _tick(self) -> None:
         try:
@@ -172,7 +172,7 @@
 
     async def _weigh(self) -> None:
         while True:
-            pool = [Listed(name, started_ms(launched)) for name, launched in self.host.listed_now()]
+            pool = [Listed(name, started_ms(launched)) for name, launched in self.host.ready_endpoints()]
             self._starts = {endpoint.id: endpoint.started_ms for endpoint in pool}
             self.fleet.board.forget_all_but(pool)
             parts = self.fleet.board.hearsay(now_us(), pool)
@@ -256,5 +256,5 @@
     """Let the host's outcomes be witnessed, and start once the loop runs."""
     port = FleetNode(options, host)
     if options.terms.knows:
-        host.witness = port.witness
+        host.outcome_listener = port.witness
     return port
--- a/eiderhub/membership/list_client.py
+++ b/eiderhub/membership/list_client.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from eiderhub.protocols.http1.client import Connection, Response
-from eiderhub.sidecar.bounds import Budget
+from eiderhub.sidecar.resource_limits import ByteBudget
 
 CONNECT_S = 1.0  # and no longer than the answer is waited for: a connection that does not come up is silence too
 
@@ -24,8 +24,8 @@
         loop = asyncio.get_running_loop()
         if self._at != (host, port):
             self.close_connection()
-        if self._connection is None or self._connection.lost:
-            fresh = Connection(self, Budget(self.most), self.most)
+        if self._connection is None or self._connection.closed:
+            fresh = Connection(self, ByteBudget(self.most), self.most)
             async with asyncio.timeout(min(CONNECT_S, timeout_s)):
                 await loop.create_connection(lambda: fresh, host, port)
             self._connection, self._at = fresh, (host, port)
--- a/eiderhub/membership/source_aggregator.py
+++ b/eiderhub/membership/source_aggregator.py
@@ -10,7 +10,7 @@
 from eiderhub.interface import ListForm, Readiness
 from eiderhub.membership.endpoint_list import ListedEndpoint
 from eiderhub.membership.merger import Merger, Step, Terms
-from eiderhub.sidecar.clock import Alarm, now_us
+from eiderhub.sidecar.clock import Timer, now_us
 
 PLATFORM = "platform"
 SLICE = 200  # entries that are taken in without a look at what else there is to do: some 3 ms
@@ -24,7 +24,7 @@
     def __init__(self, others: Iterable[Terms], deliver: Deliver) -> None:
         self.merger = Merger([Terms(PLATFORM, 0), *others])  # the platform's caution never expires
         self.deliver = deliver
-        self._alarm: Alarm | None = None
+        self._alarm: Timer | None = None
 
     def platform(self, form: ListForm, entries: list[ListedEndpoint]) -> None:
         """A list or a change of the platform's. The module learns of each answer, also of one without a change."""
@@ -63,7 +63,7 @@
         if self._alarm is not None:
             self._alarm.cancel()
         due_us = self.merger.due_us(now_us())
-        self._alarm = None if due_us is None else Alarm(due_us, self._expire)
+        self._alarm = None if due_us is None else Timer(due_us, self._expire)
 
     def _expire(self) -> None:
         step = self.merger.tick(now_us())
@@ -78,5 +78,5 @@
     joined = SourceAggregator(
         [Terms(f"consul:{service}", options.caution_us) for service in options.services], host.on_list
     )
-    host.heard = joined.platform
+    host.list_receiver = joined.platform
     return Consul(options, lambda service, entries: joined.told(f"consul:{service}", entries))
--- a/eiderhub/protocols/http1/client.py
+++ b/eiderhub/protocols/http1/client.py
@@ -8,9 +8,9 @@
 
 from eiderhub.interface import LoadReport, Outcome
 from eiderhub.load_reports import parse_load_report
-from eiderhub.sidecar.bounds import Budget
 from eiderhub.sidecar.clock import now_us
-from eiderhub.sidecar.seam import Link, Owner
+from eiderhub.sidecar.protocol_interface import ConnectionOwner, EndpointConnection
+from eiderhub.sidecar.resource_limits import ByteBudget
 
 MAX_BODY = 64 * 1024  # bytes: more than the protocol allows is no answer
 MAX_HEAD = 16 * 1024  # bytes of a head, with all interim answers before it
@@ -41,16 +41,16 @@
         return None
 
 
-class Connection(Link):
+class Connection(EndpointConnection):
     """One HTTP/1.1 connection that we opened; it carries one exchange at a time.
 
     What comes from an endpoint is believed only as far as it is one whole answer with one stated length. All
     else ends the exchange at once, and the connection with it: nobody can tell what its next bytes belong to.
     """
 
-    settle_us = SETTLE_US
+    reuse_delay_us = SETTLE_US
 
-    def __init__(self, owner: Owner, budget: Budget, max_body: int = MAX_BODY) -> None:
+    def __init__(self, owner: ConnectionOwner, budget: ByteBudget, max_body: int = MAX_BODY) -> None:
         super().__init__(owner)
         self.budget = budget
         self.max_body = max_body
@@ -60,15 +60,15 @@
 
     def _reset(self) -> None:
         self._headers: list[tuple[bytes, bytes]] = []
-        self.budget.give_back(len(self._body))
+        self.budget.release(len(self._body))
         self._body = bytearray()
         self._in_head = True
         self._head_size = 0
         self._keep = False
         self._response: Response | None = None
-        self.heard_us = 0
+        self.partial_read_us = 0
 
-    def let_go(self) -> None:
+    def release_resources(self) -> None:
         self._parser = None  # it holds this connection in turn: a cycle, which is rarely collected
         self._reset()
 
@@ -78,7 +78,7 @@
     # --- what comes ---
 
     def data_received(self, data: bytes) -> None:
-        if self.lost or self._parser is None:
+        if self.closed or self._parser is None:
             return
         if not self.busy:  # nobody asked
             self.fail()
@@ -96,14 +96,14 @@
         if self._response is not None:
             self._complete(self._response)
             return
-        self.heard_us = now_us()
+        self.partial_read_us = now_us()
         # Guards against a head that never ends, or interim answers without end.
         self._head_size += len(data) if in_head else 0
         if in_head and self._in_head and self._head_size > MAX_HEAD:
             self.fail()
 
     def _complete(self, response: Response) -> None:
-        reusable = self._keep and self.written
+        reusable = self._keep and self.flushed
         self.busy = False
         self._reset()
         if not reusable:
@@ -137,7 +137,7 @@
             raise ValueError("no length, or too long")
 
     def on_body(self, body: bytes) -> None:
-        if len(self._body) + len(body) > self.max_body or not self.budget.take(len(body)):
+        if len(self._body) + len(body) > self.max_body or not self.budget.reserve(len(body)):
             raise ValueError("the body is too long")
         self._body += body
 
@@ -167,21 +167,21 @@
 class Http1:
     """The way to speak HTTP/1.1 to an endpoint."""
 
-    def at(self, labels: frozenset[str]) -> Http1:
+    def for_labels(self, labels: frozenset[str]) -> Http1:
         return self
 
-    def link(self, owner: Owner, budget: Budget) -> Connection:
+    def new_connection(self, owner: ConnectionOwner, budget: ByteBudget) -> Connection:
         return Connection(owner, budget)
 
 
-HTTP1 = Connection.wire = Http1()
+HTTP1 = Connection.protocol = Http1()
 
 
 class Exchange:
     """A request as it goes out: the time that is left is told anew with each attempt."""
 
     __slots__ = ("body", "head")
-    wire = HTTP1
+    protocol = HTTP1
 
     def __init__(self, head: bytes, body: bytes) -> None:
         self.head = head  # request line and headers, but for the time that is left
--- a/eiderhub/protocols/http1/server.py
+++ b/eiderhub/protocols/http1/server.py
@@ -11,10 +11,10 @@
 from eiderhub.interface import Effect, RequestClass
 from eiderhub.protocols.http1.client import HOP_BY_HOP, Exchange, Response
 from eiderhub.routing.target import Asked, Refused, segments_of
-from eiderhub.sidecar.callers import Callers, CallerSocket
+from eiderhub.sidecar.callers import BaseCallerConnection, Callers
 from eiderhub.sidecar.clock import now_us
 from eiderhub.sidecar.host import Host, Request
-from eiderhub.sidecar.seam import Failure
+from eiderhub.sidecar.protocol_interface import FailureReason
 
 MAX_BODY = 64 * 1024
 MAX_HEAD = 16 * 1024
@@ -48,7 +48,7 @@
         b"x-original-uri",
     )
 )  # fmt: skip
-FAILURES = {Failure.ERROR: 502, Failure.TIME: 504, Failure.BROKEN: 500}
+FAILURES = {FailureReason.ENDPOINT_ERROR: 502, FailureReason.TIMED_OUT: 504, FailureReason.INTERNAL_ERROR: 500}
 log = logging.getLogger(__name__)
 
 
@@ -71,7 +71,7 @@
     arrived_us: int
 
 
-class CallerConnection(CallerSocket):
+class CallerConnection(BaseCallerConnection):
     """One caller's connection: requests are served one after another."""
 
     def __init__(self, server: Server) -> None:
@@ -91,7 +91,7 @@
     # --- the socket ---
 
     def data_received(self, data: bytes) -> None:
-        if self.ended or self._parser is None:
+        if self.input_closed or self._parser is None:
             return
         if self.waiting:
             self._keep_for_later(data)
@@ -99,13 +99,13 @@
             self._feed(data)
 
     def _keep_for_later(self, data: bytes) -> None:
-        if not self.callers.budget.take(len(data)):
+        if not self.callers.budget.reserve(len(data)):
             self.stop(Rejected(503, "no memory is left"))
             return
-        self.held += len(data)
+        self.reserved_bytes += len(data)
         self._behind += data
         if len(self._behind) >= MAX_BEHIND:
-            self.read(False)
+            self.set_reading(False)
 
     def _feed(self, data: bytes) -> None:
         assert self._parser is not None
@@ -113,7 +113,7 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.ended = True  # the request itself was taken, and its answer closes the connection
+            self.input_closed = True  # the request itself was taken, and its answer closes the connection
         except httptools.HttpParserError:
             self.stop(self.fault or Rejected(400, "malformed HTTP"))
             return
@@ -131,25 +131,25 @@
         just so. Callers that send one request at a time are never met by this.
         """
         if self.current is not None:
-            self.server.host.gone(self.current)
+            self.server.host.cancel_request(self.current)
         self._reject(fault)
 
-    def late(self) -> None:
+    def on_read_timeout(self) -> None:
         self.stop(Rejected(408, "the request did not come whole"))
 
-    def left(self) -> None:
+    def on_disconnect(self) -> None:
         self.waiting.clear()
         self._behind = bytearray()
         self._parser = None  # it holds this connection in turn: a cycle, which is rarely collected
         current, self.current = self.current, None
         if current is not None:
             self._forget()
-            self.server.host.gone(current)
+            self.server.host.cancel_request(current)
 
     # --- the parser's calls ---
 
     def on_message_begin(self) -> None:
-        self.began()
+        self.begin_request()
         self._url = b""
         self._headers: list[tuple[bytes, bytes]] = []
         self._body = bytearray()
@@ -183,9 +183,9 @@
     def on_body(self, body: bytes) -> None:
         if len(self._body) + len(body) > MAX_BODY:
             self._fault(413, "the body is too long")
-        if not self.callers.budget.take(len(body)):
+        if not self.callers.budget.reserve(len(body)):
             self._fault(503, "no memory is left")  # harmless: it was sent nowhere
-        self.held += len(body)
+        self.reserved_bytes += len(body)
         self._body += body
 
     def _fault(self, status: int, reason: str) -> None:
@@ -209,16 +209,16 @@
 
     def _serve_next(self) -> None:
         """Serve what waits, once the read that brought it is parsed whole and nothing is in the way."""
-        if self.waiting and self.current is None and not self.stuck and not self.lost:
+        if self.waiting and self.current is None and not self.write_blocked and not self.disconnected:
             self._serve(self.waiting.pop(0))
-        if self._behind and not self.waiting and not self.ended:
+        if self._behind and not self.waiting and not self.input_closed:
             behind, self._behind = bytes(self._behind), bytearray()
             self._feed(behind)
 
     def _serve(self, incoming: Incoming) -> None:
         self.keep = incoming.keep
         try:
-            if self.turned and incoming.url != b"/up":
+            if self.is_over_limit and incoming.url != b"/up":
                 raise Rejected(503, "no connection is left")  # harmless: it was sent nowhere
             request = self.server.admit(self, incoming)
         except Rejected as rejected:
@@ -229,29 +229,29 @@
             log.exception("a request could not be read")
             self.answer(500, [], b"")
             return
-        if not self.turned:
-            self.proved()
+        if not self.is_over_limit:
+            self.mark_established()
         if request is not None:
             self.current = request
-            self.server.host.take(request)
+            self.server.host.accept(request)
 
     def _reject(self, fault: Rejected) -> None:
         self.keep = False
         self.waiting.clear()
         self._behind = bytearray()
-        self.ended = True
+        self.input_closed = True
         headers = [(b"Retry-After", BUSY_WAIT)] if fault.status == 503 else []
         self.answer(fault.status, headers, f"{fault}\n".encode())
 
     # --- the one answer ---
 
-    def served(self, reply: Response) -> None:
+    def send_reply(self, reply: Response) -> None:
         self.answer(200, reply.headers, reply.body)
 
-    def refused(self, wait_us: int) -> None:
+    def send_refusal(self, wait_us: int) -> None:
         self.answer(503, [(b"Retry-After", b"%.3f" % (wait_us / 1e6))] if wait_us > 0 else [], b"")
 
-    def failed(self, why: Failure) -> None:
+    def send_failure(self, why: FailureReason) -> None:
         self.answer(FAILURES[why], [], b"")
 
     def answer(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
@@ -260,9 +260,9 @@
             self.current = None
             self._forget()
         if not self.waiting and not self.receiving and not self._behind:
-            self.let_go()
+            self.release_budget()
         # Rule 1: what waits behind this request was taken too, so it is answered even while we drain.
-        keep = self.keep and (bool(self.waiting or self._behind) or not self.callers.leaving)
+        keep = self.keep and (bool(self.waiting or self._behind) or not self.callers.closing)
         lines = [b"HTTP/1.1 %d %s" % (status, REASONS.get(status, b"Other")), b"Content-Length: %d" % len(body)]
         lines += [b"%s: %s" % header for header in headers if header[0].lower() not in HOP_BY_HOP]
         if not keep:
@@ -274,25 +274,25 @@
             self._finish()
 
     def _forget(self) -> None:
-        self.callers.open_ids.discard(self.request_id)
+        self.callers.open_request_ids.discard(self.request_id)
 
     def _next(self) -> None:
         if self.waiting:
             # Later: the answer may have come from within a call that still works on the last request.
             asyncio.get_running_loop().call_soon(self.resume)
         elif not self.busy:
-            self.rested()
+            self.mark_idle()
 
     def resume(self) -> None:
         self._serve_next()
-        if not self.waiting and not self.stuck:
-            self.read(True)
+        if not self.waiting and not self.write_blocked:
+            self.set_reading(True)
 
     def _finish(self) -> None:
-        unread = self.ended or self.receiving
+        unread = self.input_closed or self.receiving
         self.waiting.clear()
         self._body = bytearray()
-        self.let_go()
+        self.release_budget()
         self.finish(unread)
 
 
@@ -367,7 +367,7 @@
         wait_us = deadline_ms * 1000
         # A route may be tighter than the client; a class's own time never cuts a client's.
         wait_us = min(wait_us, self.host.plan.tighter_us.get(grade.name, wait_us))
-        open_ids = self.callers.open_ids
+        open_ids = self.callers.open_request_ids
         if request_id in open_ids:
             # Two answers would be owed under one id, and endpoints could not tell its attempts apart.
             raise Rejected(409, "req-id: this request is open")
--- a/eiderhub/protocols/thrift/client.py
+++ b/eiderhub/protocols/thrift/client.py
@@ -12,9 +12,9 @@
 from eiderhub.protocols.thrift.messages import read_header
 from eiderhub.protocols.thrift.plan import Options
 from eiderhub.protocols.thrift.wire import MAX_FRAME, Encoding, Header, Kind, Malformed
-from eiderhub.sidecar.bounds import Budget
 from eiderhub.sidecar.clock import now_us
-from eiderhub.sidecar.seam import SENT, Link, Owner
+from eiderhub.sidecar.protocol_interface import NO_REPLY, ConnectionOwner, EndpointConnection
+from eiderhub.sidecar.resource_limits import ByteBudget
 from eiderhub.sidecar.upstream import Attempt
 
 MAX_SEQID = 0x7FFFFFFF
@@ -45,14 +45,14 @@
         self.most = most  # bytes of a reply
         self.stated: dict[str, Thrift] = {}  # by an endpoint's label that stands above: how to speak to that one
 
-    def at(self, labels: frozenset[str]) -> Thrift:
+    def for_labels(self, labels: frozenset[str]) -> Thrift:
         if self.stated:
             for label, wire in self.stated.items():
                 if label in labels:
                     return wire
         return self
 
-    def link(self, owner: Owner, budget: Budget) -> Connection:
+    def new_connection(self, owner: ConnectionOwner, budget: ByteBudget) -> Connection:
         return Connection(owner, budget, self)
 
 
@@ -69,12 +69,12 @@
 class Call:
     """A call as it goes out. Each encoding of it is made once: servers see the client's message, but for its id."""
 
-    __slots__ = ("_made", "header", "unknown", "unsayable", "wire")
+    __slots__ = ("_made", "header", "protocol", "unknown", "unsayable")
 
     def __init__(self, message: bytes, header: Header, wire: Thrift) -> None:
         """Raises Malformed where it has to be converted and can't be: the caller's fault, and no endpoint's."""
         self.header = header
-        self.wire = wire
+        self.protocol = wire
         self.unknown = False  # whether an endpoint said that it has no such method
         self.unsayable = False  # whether it could not be converted for an endpoint that states another encoding
         self._made = {header.encoding: (message, header)}
@@ -106,25 +106,25 @@
     return made, read_header(made, to)
 
 
-class Connection(Link):
+class Connection(EndpointConnection):
     """One framed connection to a server.
 
     One call at a time: a server may answer several in any order, or none of them, and one that is given up can then
     be cut off without a loss to another. Whatever is not the one answer that is waited for ends the connection.
     """
 
-    def __init__(self, owner: Owner, budget: Budget, wire: Thrift) -> None:
+    def __init__(self, owner: ConnectionOwner, budget: ByteBudget, wire: Thrift) -> None:
         super().__init__(owner)
-        self.wire: Thrift = wire
+        self.protocol: Thrift = wire
         self.budget = budget
         self.held = 0
         self.seqid = 0
         self.call: Call | None = None  # what is out
         self._frames = FrameReader(wire.most)
 
-    def begin(self, attempt: Attempt, data: Call) -> None:
+    def start_attempt(self, attempt: Attempt, data: Call) -> None:
         seqid = self.seqid % MAX_SEQID + 1
-        message = data.stamped(self.wire.encoding, seqid)
+        message = data.stamped(self.protocol.encoding, seqid)
         self.attempt, self.call, self.seqid = attempt, data, seqid
         self.send(framed(message))
         self._watch_oneway()
@@ -140,19 +140,19 @@
 
     def _sent(self, call: Call) -> None:
         """The last byte of a oneway call has left: nothing more will come of it. The connection is free again."""
-        if self.call is not call or not self.written or self.lost:
+        if self.call is not call or not self.flushed or self.closed:
             return
         attempt, self.attempt, self.call = self.attempt, None, None
         self.busy = False
-        self.owner.on_response(self, attempt, SENT, True)
+        self.owner.on_response(self, attempt, NO_REPLY, True)
 
     def outcome(self, reply: Any) -> Outcome:
-        if reply is SENT:
+        if reply is NO_REPLY:
             return Outcome.OK
-        return answers.judge(reply.message, reply.header, self.wire.shedding)
+        return answers.judge(reply.message, reply.header, self.protocol.shedding)
 
     def data_received(self, data: bytes) -> None:
-        if self.lost:
+        if self.closed:
             return
         if self.call is None:  # nobody asked
             self.fail()
@@ -163,7 +163,7 @@
             self.fail()
             return
         if not frames:
-            self.heard_us = now_us()
+            self.partial_read_us = now_us()
             if not self._hold(self._frames.held):
                 self.fail()
             return
@@ -176,17 +176,17 @@
 
     def _hold(self, size: int) -> bool:
         """Count what is kept of an answer that is not whole against the budget that all share."""
-        if size > self.held and not self.budget.take(size - self.held):
+        if size > self.held and not self.budget.reserve(size - self.held):
             return False
         if size < self.held:
-            self.budget.give_back(self.held - size)
+            self.budget.release(self.held - size)
         self.held = size
         return True
 
     def _answered(self, message: bytes) -> None:
         assert self.call is not None
         try:
-            header = read_header(message, self.wire.encoding)
+            header = read_header(message, self.protocol.encoding)
         except Malformed:
             self.fail()
             return
@@ -195,16 +195,16 @@
             return
         attempt, call = self.attempt, self.call
         self.attempt = self.call = None
-        reusable = self.written
+        reusable = self.flushed
         self.busy = False
-        self.heard_us = 0
+        self.partial_read_us = 0
         if not reusable:
             self.close()
         reply = Reply(message, header)
         call.unknown = call.unknown or self.outcome(reply) is Outcome.NOT_EXECUTED
         self.owner.on_response(self, attempt, reply, reusable)
 
-    def let_go(self) -> None:
+    def release_resources(self) -> None:
         self.call = None
         self._hold(0)
-        self._frames = FrameReader(self.wire.most)
+        self._frames = FrameReader(self.protocol.most)
--- a/eiderhub/protocols/thrift/server.py
+++ b/eiderhub/protocols/thrift/server.py
@@ -12,8 +12,8 @@
 from eiderhub.protocols.thrift.frames import FrameReader, framed
 from eiderhub.protocols.thrift.plan import Admitted, NotTaken, Options, Reader
 from eiderhub.protocols.thrift.wire import Encoding, Failure, Header, Kind, Malformed
-from eiderhub.sidecar import seam
-from eiderhub.sidecar.callers import Callers, CallerSocket
+from eiderhub.sidecar import protocol_interface
+from eiderhub.sidecar.callers import BaseCallerConnection, Callers
 from eiderhub.sidecar.clock import now_us
 from eiderhub.sidecar.host import Host, Request
 
@@ -36,8 +36,8 @@
         self.request_id = b""
         self.answer: bytes | None = None  # worded, and not sent yet: earlier calls' answers go first
 
-    def served(self, reply: Reply | seam.Sent) -> None:
-        if isinstance(reply, seam.Sent):
+    def send_reply(self, reply: Reply | protocol_interface.NoReply) -> None:
+        if isinstance(reply, protocol_interface.NoReply):
             self._end(b"")
             return
         try:
@@ -48,7 +48,7 @@
             return
         self._end(told)
 
-    def refused(self, wait_us: int) -> None:
+    def send_refusal(self, wait_us: int) -> None:
         if self.payload is not None and self.payload.unknown:
             # Danger: a refusal asks to come back, and a method that no endpoint has would be asked for without end.
             self._exception(Failure.UNKNOWN_METHOD, "failed: no endpoint that was asked has this method")
@@ -58,8 +58,13 @@
             return
         self._exception(*answers.refusal(wait_us))
 
-    def failed(self, why: seam.Failure) -> None:
-        self._exception(*answers.failed(why is not seam.Failure.TIME, why is seam.Failure.BROKEN))
+    def send_failure(self, why: protocol_interface.FailureReason) -> None:
+        self._exception(
+            *answers.failed(
+                why is not protocol_interface.FailureReason.TIMED_OUT,
+                why is protocol_interface.FailureReason.INTERNAL_ERROR,
+            )
+        )
 
     def _exception(self, failure: int, text: str) -> None:
         self._end(self.exception(failure, text))
@@ -77,7 +82,7 @@
             connection.ended_call(self, told)
 
 
-class CallerConnection(CallerSocket):
+class CallerConnection(BaseCallerConnection):
     """One caller's connection. Several calls may be out on it; in order or not, each gets its one answer."""
 
     def __init__(self, server: Server) -> None:
@@ -91,7 +96,7 @@
     # --- the socket ---
 
     def data_received(self, data: bytes) -> None:
-        if self.ended:
+        if self.input_closed:
             return
         was_partial = self._frames.partial
         try:
@@ -100,12 +105,12 @@
             self.stop(str(error))
             return
         self.receiving = self._frames.partial
-        if not self.callers.budget.take(len(data)):
+        if not self.callers.budget.reserve(len(data)):
             self.stop("no memory is left")
             return
-        self.held += len(data)
+        self.reserved_bytes += len(data)
         if self.receiving and (frames or not was_partial):
-            self.began()
+            self.begin_request()
         self.waiting.extend(frames)
         self._serve()
 
@@ -117,42 +122,47 @@
     def answering(self) -> bool:
         return bool(self.out) or bool(self.waiting)
 
-    def late(self) -> None:
+    def on_read_timeout(self) -> None:
         self.stop("the frame did not come whole")
 
-    def left(self) -> None:
+    def on_disconnect(self) -> None:
         self.waiting.clear()
         for call in list(self.out):
             request, call.connection = call.request, None
             call.request = None
             self._forget(call)
             if request is not None:
-                self.server.host.gone(request)
+                self.server.host.cancel_request(request)
         self.out.clear()
 
     def resume(self) -> None:
         self._flush()
         self._serve()
-        if not self.ended and not self.waiting and not self.stuck:
-            self.read(True)
+        if not self.input_closed and not self.waiting and not self.write_blocked:
+            self.set_reading(True)
 
     # --- calls ---
 
     def _serve(self) -> None:
         """Take what waits while there is a place; past that the caller is read no further."""
-        while self.waiting and not self.stuck and not self.ended and len(self.out) < self.server.options.calls:
+        while (
+            self.waiting
+            and not self.write_blocked
+            and not self.input_closed
+            and len(self.out) < self.server.options.calls
+        ):
             message = self.waiting.popleft()
             try:
                 self._take(message)
             except Malformed as error:
                 self.stop(str(error))
-        if self.ended:
+        if self.input_closed:
             return
         if self.waiting:
-            self.read(False)
+            self.set_reading(False)
         elif not self.answering and not self.receiving:
-            self.let_go()
-            self.rested()
+            self.release_budget()
+            self.mark_idle()
 
     def _take(self, message: bytes) -> None:
         """One call. Raises Malformed where its bytes, or its sequence id, leave the connection in doubt."""
@@ -169,14 +179,14 @@
         except NotTaken as error:
             call._exception(error.failure, str(error))
             return
-        self.proved()
+        self.mark_established()
         payload = call.payload = Call(message, header, self.server.wires[self.encoding])
         request = Request(call, admitted.grade, admitted.tenant, admitted.hint_us, now_us() + admitted.wait_us, payload)
         call.request = request
-        self.server.host.take(request)
+        self.server.host.accept(request)
 
     def _claim(self, call: Out, admitted: Admitted) -> None:
-        open_ids = self.callers.open_ids
+        open_ids = self.callers.open_request_ids
         if admitted.request_id:
             if admitted.request_id in open_ids:
                 raise NotTaken(Failure.PROTOCOL_ERROR, "request_id: this request is open")
@@ -185,23 +195,23 @@
 
     def _forget(self, call: Out) -> None:
         if call.request_id:
-            self.callers.open_ids.discard(call.request_id)
+            self.callers.open_request_ids.discard(call.request_id)
             call.request_id = b""
 
     def ended_call(self, call: Out, told: bytes) -> None:
         """The one answer of a call: it leaves now, or when those of the calls before it have."""
         self._forget(call)
-        self.held -= call.size
-        self.callers.budget.give_back(call.size)
+        self.reserved_bytes -= call.size
+        self.callers.budget.release(call.size)
         call.answer = told
         if self.server.options.in_order:
             self._flush()
         else:
             self.out.remove(call)
             self._write(told)
-        if self.callers.leaving and not self.answering and not self.receiving and not self.ended:
+        if self.callers.closing and not self.answering and not self.receiving and not self.input_closed:
             self.finish(unread=False)
-        elif not self.ended:
+        elif not self.input_closed:
             # Later: the answer may have come from within a call that still works on the last one.
             asyncio.get_running_loop().call_soon(self.resume)
 
@@ -220,7 +230,7 @@
 
         Rule 1: each call that was taken has its one answer all the same, and then the connection closes.
         """
-        self.ended = True
+        self.input_closed = True
         self.waiting.clear()
         for call in list(self.out):
             request, call.request = call.request, None
@@ -229,12 +239,12 @@
                 call.answer = call.exception(Failure.PROTOCOL_ERROR, f"failed: {reason}; the call may have run")
                 self._forget(call)
             if request is not None:
-                self.server.host.gone(request)
+                self.server.host.cancel_request(request)
         if not self.out:
             self._write(self._complaint(reason))
         while self.out:
             self._write(self.out.popleft().answer or b"")
-        self.let_go()
+        self.release_budget()
         self.finish(unread=True)
 
     def _complaint(self, reason: str) -> bytes:
--- a/eiderhub/routing/options.py
+++ b/eiderhub/routing/options.py
@@ -33,7 +33,7 @@
 )
 from eiderhub.schema.pair import Pair
 from eiderhub.schema.units import show_duration
-from eiderhub.sidecar.bounds import ANSWER_MARGIN_US
+from eiderhub.sidecar.resource_limits import ANSWER_MARGIN_US
 
 HTTP = "http"
 PROTOCOLS = (HTTP, "thrift")
--- a/eiderhub/sidecar/__main__.py
+++ b/eiderhub/sidecar/__main__.py
@@ -67,21 +67,21 @@
     while. Closing them at once would send a whole sidecar's load to its neighbours in one moment, and to
     nobody where the neighbour is about to come back from a restart of its own.
     """
-    end = min(LONGEST_S, callers.longest_s) + AFTER_LONGEST_S
+    end = min(LONGEST_S, callers.max_deadline_s) + AFTER_LONGEST_S
     begun_us = now_us()
     callers.draining = True
     await asyncio.sleep(ACCEPT_S)
     for listener in listeners:
         await close_listener(listener)
     await asyncio.sleep(SERVE_SHARE * end - ACCEPT_S)
-    callers.leaving = True
+    callers.closing = True
     while callers and now_us() < begun_us + int(end * 1e6):
         callers.close_idle()
         await asyncio.sleep(0.01)
     host.close()
     flushed_us = now_us() + int(FLUSH_S * 1e6)
     await asyncio.sleep(0)  # what the last turn read is taken in, at the least once
-    while callers.owed() and now_us() < flushed_us:
+    while callers.has_unfinished_work() and now_us() < flushed_us:
         callers.close_idle()
         await asyncio.sleep(0.005)
     callers.close_idle()
@@ -169,7 +169,7 @@
     host = Host(config)
     reloader = Reloader(host, config, operator)
     loop.add_signal_handler(signal.SIGHUP, reloader.ask)
-    callers = Callers(config.bounds.callers, host.longest_s, host.budget)
+    callers = Callers(config.bounds.caller_connections, host.max_deadline_s, host.budget)
     server = Server(host, callers)
     await server.bind(config.listen.host, config.listen.port)
     listeners = [server.listener]
@@ -193,7 +193,7 @@
     if fleet is not None:
         fleet.start()
         reloader.taken = lambda new: fleet.adopt(new.fleet.build)
-    chores = (host.upstream.sweep(), callers.watch(), watch_lag())
+    chores = (host.upstream.sweep(), callers.watch_timeouts(), watch_lag())
     background = [loop.create_task(chore) for chore in chores]
     # What lives from here to the end need not be walked again: a full collection holds up every request.
     gc.collect()
--- a/eiderhub/sidecar/clock.py
+++ b/eiderhub/sidecar/clock.py
@@ -15,7 +15,7 @@
     return time.monotonic_ns() // 1000
 
 
-class Alarm:
+class Timer:
     """Calls back once the clock has reached `due_us`.
 
     The loop keeps time in whole milliseconds and rounds: a plain `call_later` may come up to one too early,
--- a/eiderhub/sidecar/config.py
+++ b/eiderhub/sidecar/config.py
@@ -13,7 +13,7 @@
 from eiderhub.membership.endpoint_list import EndpointList, read_endpoint_list
 from eiderhub.routing.plan import Plan
 from eiderhub.settings import parse_settings
-from eiderhub.sidecar.bounds import Bounds
+from eiderhub.sidecar.resource_limits import ResourceLimits
 
 SOCKETS, MEMORY_MB = 1024, 192  # where the configuration states no limit
 
@@ -34,7 +34,7 @@
     listen: Address
     discovery: Address | None  # None: the known list is all there is
     seed: int
-    bounds: Bounds
+    bounds: ResourceLimits
     known: EndpointList
     settings: Settings
     plan: Plan | None = None  # routes; None: the first part of the path is the class
@@ -114,7 +114,9 @@
             elsewhere or bool(known.entries),  # a fixed list of endpoints
         ),
         seed=_seed(document.get("seed")),
-        bounds=Bounds.within(int(_limit(document, "sockets", SOCKETS)), _limit(document, "memory_mb", MEMORY_MB)),
+        bounds=ResourceLimits.divide(
+            int(_limit(document, "sockets", SOCKETS)), _limit(document, "memory_mb", MEMORY_MB)
+        ),
         known=known,
         settings=settings,
     )
--- a/eiderhub/sidecar/discovery.py
+++ b/eiderhub/sidecar/discovery.py
@@ -92,7 +92,7 @@
                 log.warning("discovery: %s: %s", type(error).__name__, error)
             self.turn(True)
 
-    def move(self, host: str, port: int) -> None:
+    def change_address(self, host: str, port: int) -> None:
         """Watch at another address; the last list stays in use until that has told all of its own.
 
         What it tells first must be the whole list: its versions need not be those of the last address.
--- a/eiderhub/sidecar/host.py
+++ b/eiderhub/sidecar/host.py
@@ -19,11 +19,11 @@
 from eiderhub.membership.poll_schedule import MIN_GRACE_US, PollSchedule
 from eiderhub.membership.watch_suspicion import WatchSuspicion
 from eiderhub.routing.plan import plain
-from eiderhub.sidecar.bounds import ANSWER_MARGIN_US, Budget
-from eiderhub.sidecar.clock import Alarm, now_us
+from eiderhub.sidecar.clock import Timer, now_us
 from eiderhub.sidecar.config import Config
 from eiderhub.sidecar.discovery import Watcher
-from eiderhub.sidecar.seam import SENT, Caller, Failure, Payload, Reply
+from eiderhub.sidecar.protocol_interface import NO_REPLY, Caller, FailureReason, Payload, Reply
+from eiderhub.sidecar.resource_limits import ANSWER_MARGIN_US, ByteBudget
 from eiderhub.sidecar.upstream import Attempt, Upstream
 
 AGENT_WAIT_US = 2_000_000  # how long a new process waits for the agent's list before it serves from the known one
@@ -34,21 +34,31 @@
     """One request that was taken, and its attempts."""
 
     __slots__ = (
-        "alarm", "answered", "attempts", "call", "caller", "deadline_us", "due_us", "grade", "hint_us", "out",
-        "payload", "tenant",
+        "alarm",
+        "answered",
+        "attempts",
+        "call",
+        "caller",
+        "class_name",
+        "deadline_us",
+        "due_us",
+        "hint_us",
+        "out",
+        "payload",
+        "tenant",
     )  # fmt: skip
 
     def __init__(
         self,
         caller: Caller,
-        grade: str,
+        class_name: str,
         tenant: str | None,
         hint_us: int | None,
         deadline_us: int,
         payload: Payload,
     ) -> None:
         self.caller = caller
-        self.grade = grade
+        self.class_name = class_name
         self.tenant = tenant
         self.hint_us = hint_us
         self.deadline_us = deadline_us  # when the client gives up
@@ -58,7 +68,7 @@
         self.attempts: list[Attempt] = []
         self.out = 0  # attempts that have not ended
         self.answered = False
-        self.alarm: Alarm | None = None
+        self.alarm: Timer | None = None
 
 
 class Host:
@@ -68,22 +78,22 @@
         self.plan = config.plan or plain(config.settings)
         settings = self.plan.settings
         self.settings = settings
-        self.longest_s = max(c.deadline_us for c in settings.classes) / 1e6
+        self.max_deadline_s = max(c.deadline_us for c in settings.classes) / 1e6
         self.requests: dict[str, Request] = {}
-        self.serial = 0
+        self.accepted_count = 0
         self.listed = False  # whether any list has named endpoints
         self.informed = settings.discovery is not Discovery.PUSH  # whether what an agent has need not be waited for
         self.closing = False  # the process ends: whoever still comes is told to go elsewhere
-        self.budget = Budget(config.bounds.held)  # for requests and answers alike
+        self.budget = ByteBudget(config.bounds.buffered_bytes)  # for requests and answers alike
         self.upstream = Upstream(
             settings.limits.conn_idle_us,
             settings.limits.connect_timeout_us,
-            config.bounds.endpoints,
+            config.bounds.endpoint_connections,
             self.budget,
         )
         self.upstream.refused = self._refused
-        self.heard = self.on_list  # what hears lists: the host, or what joins them with those of other sources
-        self.witness: Callable[[str, Outcome], None] | None = None  # who else is told how attempts end
+        self.list_receiver = self.on_list  # what hears lists: the host, or what joins them with those of other sources
+        self.outcome_listener: Callable[[str, Outcome], None] | None = None  # who else is told how attempts end
         self.watcher = self._watcher(config) if config.discovery else None
         self.balancer = Balancer(settings, config.seed, self)
         self.known = config.known
@@ -101,7 +111,7 @@
                 self._place(),
                 self.settings.rules.poll_interval_us,
             ),
-            lambda form, entries: self.heard(form, entries),
+            lambda form, entries: self.list_receiver(form, entries),
             self._doubt(),
         )
 
@@ -124,10 +134,10 @@
     def start(self) -> None:
         """Start the module on the list that was known last, which is in use until discovery answers."""
         self.balancer.start(now_us(), bool(self.known.entries))
-        self.heard(ListForm.CACHED, self.known.entries)
+        self.list_receiver(ListForm.CACHED, self.known.entries)
         if self.settings.discovery is Discovery.PUSH:
             self.tail(True)
-            Alarm(now_us() + AGENT_WAIT_US, self._inform)  # an agent may be silent: then the known list has to do
+            Timer(now_us() + AGENT_WAIT_US, self._inform)  # an agent may be silent: then the known list has to do
 
     def reload(self, config: Config) -> None:
         """Take from a new configuration what may change while the process runs: routes, and where discovery is.
@@ -145,7 +155,7 @@
             return
         if self.watcher is None:
             self.watcher = self._watcher(config)
-        self.watcher.move(config.discovery.host, config.discovery.port)
+        self.watcher.change_address(config.discovery.host, config.discovery.port)
 
     @property
     def ready(self) -> bool:
@@ -170,22 +180,22 @@
 
     # --- requests ---
 
-    def take(self, request: Request) -> None:
+    def accept(self, request: Request) -> None:
         """A request has come whole: from here on one answer is owed."""
         if self.closing:
             request.answered = True
-            request.caller.refused(0)
+            request.caller.send_refusal(0)
             return
-        self.serial += 1
+        self.accepted_count += 1
         # An id of our own: a caller that repeats one must not meet what the module still holds under it.
-        call = request.call = f"{self.serial:016x}"
+        call = request.call = f"{self.accepted_count:016x}"
         self.requests[call] = request
-        request.alarm = Alarm(request.due_us, partial(self._out_of_time, request))
+        request.alarm = Timer(request.due_us, partial(self._on_deadline, request))
         left = request.deadline_us - now_us()
-        if not self._tell(self.balancer.order, call, request.grade, request.tenant, left, request.hint_us):
-            self._abandon(request, Failure.BROKEN)
+        if not self._tell(self.balancer.order, call, request.class_name, request.tenant, left, request.hint_us):
+            self._abandon(request, FailureReason.INTERNAL_ERROR)
 
-    def gone(self, request: Request) -> None:
+    def cancel_request(self, request: Request) -> None:
         """The client has closed its connection: nothing more is sent for it."""
         if not request.answered:
             self._close(request)
@@ -212,20 +222,20 @@
         self._close(request)
         return True
 
-    def _abandon(self, request: Request, why: Failure | None) -> None:
+    def _abandon(self, request: Request, why: FailureReason | None) -> None:
         """Answer in place of the module, with a refusal where nothing failed, and tell it that the request is over."""
         if self._closes(request):
             if why is None:
-                request.caller.refused(0)
+                request.caller.send_refusal(0)
             else:
-                request.caller.failed(why)
+                request.caller.send_failure(why)
             self._tell(self.balancer.expired, request.call)
 
-    def _out_of_time(self, request: Request) -> None:
+    def _on_deadline(self, request: Request) -> None:
         """Attempts end by time, and so does what the module holds: an answer is due now, not later."""
         for attempt in list(request.attempts):
             attempt.drop(Outcome.TIMEOUT)
-        self._abandon(request, Failure.TIME)
+        self._abandon(request, FailureReason.TIMED_OUT)
 
     def close(self) -> None:
         """The process ends: what is still open is answered now, and so is whatever still comes.
@@ -235,7 +245,7 @@
         self.closing = True
         for request in list(self.requests.values()):
             sent = any(attempt.begun for attempt in request.attempts)
-            self._abandon(request, Failure.TIME if sent else None)
+            self._abandon(request, FailureReason.TIMED_OUT if sent else None)
 
     # --- attempts ---
 
@@ -249,11 +259,11 @@
     def _ended(self, request: Request, attempt: Attempt, outcome: Outcome, reply: Reply | None) -> None:
         request.out -= 1
         if outcome is Outcome.OK and reply is not None and self._closes(request):
-            request.caller.served(reply)
+            request.caller.send_reply(reply)
         if request.answered and not request.out:
             self._discard(request)
-        if self.witness is not None:
-            self.witness(attempt.endpoint, outcome if reply is not SENT else Outcome.CANCELLED)
+        if self.outcome_listener is not None:
+            self.outcome_listener(attempt.endpoint, outcome if reply is not NO_REPLY else Outcome.CANCELLED)
         spent = now_us() - attempt.sent_us
         told = self._tell(
             self.balancer.reply,
@@ -263,11 +273,11 @@
             spent,
             request.answered,
             # Of what left and has no answer nothing is learned: it took no time, and nobody knows how it went.
-            outcome if reply is not SENT else Outcome.CANCELLED,
+            outcome if reply is not NO_REPLY else Outcome.CANCELLED,
             reply.load() if reply is not None else None,
         )
         if not told and not request.out:
-            self._abandon(request, Failure.BROKEN)
+            self._abandon(request, FailureReason.INTERNAL_ERROR)
 
     # --- the module's actions ---
 
@@ -282,7 +292,7 @@
         attempt = Attempt(
             len(request.attempts),
             endpoint,
-            request.payload.wire,
+            request.payload.protocol,
             partial(self._data, request, until),
             partial(self._ended, request),
         )
@@ -292,7 +302,7 @@
             asyncio.get_running_loop().call_soon(attempt.end, Outcome.NOT_EXECUTED)
             return
         if until < request.due_us:
-            attempt.alarm = Alarm(until, partial(attempt.drop, Outcome.TIMEOUT))
+            attempt.alarm = Timer(until, partial(attempt.drop, Outcome.TIMEOUT))
         self.upstream.send(attempt)
 
     def cancel(self, call: str, attempt: int) -> None:
@@ -304,15 +314,17 @@
     def shed(self, call: str, wait_us: int) -> None:
         request = self.requests.get(call)
         if request is not None and self._closes(request):
-            request.caller.refused(wait_us)
+            request.caller.send_refusal(wait_us)
 
     def surrender(self, call: str) -> None:
         request = self.requests.get(call)
         if request is not None and self._closes(request):
-            request.caller.failed(Failure.TIME if now_us() >= request.due_us else Failure.ERROR)
+            request.caller.send_failure(
+                FailureReason.TIMED_OUT if now_us() >= request.due_us else FailureReason.ENDPOINT_ERROR
+            )
 
     def timer(self, delay_us: int, mark: str) -> None:
-        Alarm(now_us() + delay_us, partial(self._tell, self.balancer.wake, mark))
+        Timer(now_us() + delay_us, partial(self._tell, self.balancer.wake, mark))
 
     def tail(self, on: bool) -> None:
         if self.watcher is not None:
@@ -326,9 +338,9 @@
 
     # --- what other sidecars saw ---
 
-    def listed_now(self) -> list[tuple[str, int]]:
+    def ready_endpoints(self) -> list[tuple[str, int]]:
         """Endpoints that are ready: their ids and starts."""
-        return [(name, pool.home.launched_us) for name, pool in self.upstream.pools.items()]
+        return [(name, pool.target.launched_us) for name, pool in self.upstream.pools.items()]
 
     def hearsay(self, parts: Mapping[str, float]) -> None:
         self._tell(self.balancer.hearsay, parts)
@@ -339,12 +351,12 @@
         """Rule 3: the pools learn first, so that nothing new leaves for what drains or is gone."""
         if form in (ListForm.FULL, ListForm.CACHED):
             for missing in self.upstream.pools.keys() - {entry.endpoint.id for entry in entries}:
-                self.upstream.retire(missing)
+                self.upstream.remove_endpoint(missing)
         for endpoint, host, port in entries:
             if endpoint.readiness is Readiness.READY:
-                self.upstream.place(endpoint.id, host, port, endpoint.started_us, endpoint.labels)
+                self.upstream.set_endpoint(endpoint.id, host, port, endpoint.started_us, endpoint.labels)
             else:
-                self.upstream.retire(endpoint.id)
+                self.upstream.remove_endpoint(endpoint.id)
         self.listed = self.listed or bool(entries)
         self.informed = self.informed or form in (ListForm.FULL, ListForm.DELTA)
         self._tell(self.balancer.discovery, form, [entry.endpoint for entry in entries])
--- a/eiderhub/sidecar/options.py
+++ b/eiderhub/sidecar/options.py
@@ -10,7 +10,7 @@
 from eiderhub.schema.kinds import Choice, Key, Kind, Number, Table
 from eiderhub.schema.pair import Pair
 from eiderhub.schema.units import show_duration
-from eiderhub.sidecar.bounds import LEAST_SOCKETS, Bounds
+from eiderhub.sidecar.resource_limits import MIN_SOCKETS, ResourceLimits
 
 ANY, LOOPBACK = "any", "loopback"
 
@@ -55,10 +55,10 @@
 def _check_rate(limits: dict[str, Any], aims_us: list[int], rate: float, spot: Spot) -> None:
     """Whether the descriptors carry the expected rate, each request open for its wanted time at the worst."""
     sockets = limits.get("sockets", 1024)
-    if not aims_us or sockets < LEAST_SOCKETS:
+    if not aims_us or sockets < MIN_SOCKETS:
         return
-    bounds = Bounds.within(sockets, limits.get("memory_mb", 192.0))
-    most = min(bounds.callers, bounds.endpoints)
+    bounds = ResourceLimits.divide(sockets, limits.get("memory_mb", 192.0))
+    most = min(bounds.caller_connections, bounds.endpoint_connections)
     needed = math.ceil(rate * max(aims_us) / 1e6)
     if needed > most:
         spot.error(
--- a/eiderhub/sidecar/seam.py
+++ b/eiderhub/sidecar/protocol_interface.py
@@ -14,16 +14,16 @@
 from eiderhub.interface import LoadReport, Outcome
 
 if TYPE_CHECKING:
-    from eiderhub.sidecar.bounds import Budget
+    from eiderhub.sidecar.resource_limits import ByteBudget
     from eiderhub.sidecar.upstream import Attempt
 
 
-class Failure(Enum):
+class FailureReason(Enum):
     """Why a request that was taken has no answer of an endpoint, where no promise is made of what has run."""
 
-    ERROR = "error"  # an endpoint failed, or what became of it can't be known
-    TIME = "time"  # its time is up
-    BROKEN = "broken"  # the sidecar itself failed
+    ENDPOINT_ERROR = "error"  # an endpoint failed, or what became of it can't be known
+    TIMED_OUT = "time"  # its time is up
+    INTERNAL_ERROR = "broken"  # the sidecar itself failed
 
 
 class Reply(Protocol):
@@ -36,35 +36,35 @@
 class Caller(Protocol):
     """Who asked: takes the one final answer, by one of these, and words it in its protocol."""
 
-    def served(self, reply: Any) -> None: ...
+    def send_reply(self, reply: Any) -> None: ...
 
-    def refused(self, wait_us: int) -> None:
+    def send_refusal(self, wait_us: int) -> None:
         """Trying again does no harm, after so long; 0 where nothing is known of when."""
 
-    def failed(self, why: Failure) -> None: ...
+    def send_failure(self, why: FailureReason) -> None: ...
 
 
 class Payload(Protocol):
     """What is asked, as it goes out: made by the server side, written by the client side of one protocol."""
 
     @property
-    def wire(self) -> Wire:
+    def protocol(self) -> ClientProtocol:
         """How it is spoken: the attempt goes out on a link of this wire."""
 
     def data(self, left_ms: int) -> Any:
         """What one attempt, which may take so long, sends: bytes, or what the links of this wire make bytes of."""
 
 
-class Wire(Protocol):
+class ClientProtocol(Protocol):
     """The client side of a protocol. One object for each way to speak to an endpoint, so that pools tell them apart."""
 
-    def at(self, labels: frozenset[str]) -> Wire:
+    def for_labels(self, labels: frozenset[str]) -> ClientProtocol:
         """How to speak to an endpoint that states these facts of itself."""
 
-    def link(self, owner: Owner, budget: Budget) -> Link: ...
+    def new_connection(self, owner: ConnectionOwner, budget: ByteBudget) -> EndpointConnection: ...
 
 
-class Owner(Protocol):
+class ConnectionOwner(Protocol):
     """Who opened a link, and is told what comes of it."""
 
     def on_response(self, link: Any, attempt: Attempt | None, reply: Any, reusable: bool) -> None: ...
@@ -72,34 +72,34 @@
     def on_lost(self, link: Any) -> None: ...
 
 
-class Link(asyncio.Protocol):
+class EndpointConnection(asyncio.Protocol):
     """One connection that we opened. What a socket is to all protocols stands here; what comes on it in theirs.
 
     A link carries as many attempts at a time as `room` says; the pools put no more on it.
     """
 
-    wire: Wire  # the one that made it
-    settle_us = 0  # how long it rests after an answer, where the next one can't be told from a late second copy
+    protocol: ClientProtocol  # the one that made it
+    reuse_delay_us = 0  # how long it rests after an answer, where the next one can't be told from a late second copy
 
-    def __init__(self, owner: Owner) -> None:
+    def __init__(self, owner: ConnectionOwner) -> None:
         self.owner = owner
         self.attempt: Attempt | None = None
         self.busy = False
-        self.written = False  # whether the last byte of what was sent has left for the kernel
-        self.lost = False
-        self.idle_since = 0
-        self.answered_us = 0  # when the last whole answer came on it
-        self.home: object = None  # the address and the process that it was opened to
-        self.heard_us = 0  # when the last bytes of an answer that is not whole came; 0: none has begun
+        self.flushed = False  # whether the last byte of what was sent has left for the kernel
+        self.closed = False
+        self.idle_since_us = 0
+        self.last_reply_us = 0  # when the last whole answer came on it
+        self.target: object = None  # the address and the process that it was opened to
+        self.partial_read_us = 0  # when the last bytes of an answer that is not whole came; 0: none has begun
 
     # --- what the pools ask ---
 
     @property
-    def room(self) -> int:
+    def free_slots(self) -> int:
         """How many more attempts it may carry."""
-        return 0 if self.busy or self.lost else 1
+        return 0 if self.busy or self.closed else 1
 
-    def begin(self, attempt: Attempt, data: Any) -> None:
+    def start_attempt(self, attempt: Attempt, data: Any) -> None:
         """Send what an attempt's payload has made for it.
 
         Raises ValueError where that can't be said on this link; nothing is written then.
@@ -117,13 +117,13 @@
         self.owner.on_lost(self)
         self.close()
 
-    def lose(self) -> list[tuple[Attempt, Outcome]]:
+    def detach_attempts(self) -> list[tuple[Attempt, Outcome]]:
         """The attempts that end with the connection, and how. Not wholly written: the endpoint begins with the last
         byte, so it never ran."""
         attempt, self.attempt = self.attempt, None
         if attempt is None:
             return []
-        return [(attempt, Outcome.RESET if self.written else Outcome.CONNECT_FAILED)]
+        return [(attempt, Outcome.RESET if self.flushed else Outcome.CONNECT_FAILED)]
 
     # --- the socket ---
 
@@ -135,53 +135,53 @@
         self._poll = select.poll()
         self._poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
 
-    def stale(self) -> bool:
+    def is_stale(self) -> bool:
         """Whether an idle connection has anything to read: its end, or what nobody asked for.
 
         Guards against writing an unsafe request to a connection whose end the loop has not come to yet.
         """
-        return self.lost or bool(self._poll.poll(0))
+        return self.closed or bool(self._poll.poll(0))
 
     def send(self, data: bytes) -> None:
-        self.busy = self.written = True
+        self.busy = self.flushed = True
         self.transport.write(data)
 
     def pause_writing(self) -> None:
-        self.written = False
+        self.flushed = False
 
     def resume_writing(self) -> None:
-        self.written = True
+        self.flushed = True
 
     def close(self) -> None:
         """Give up what is out: whatever still comes on this connection reaches nobody."""
-        if not self.lost:
-            self.lost = True
+        if not self.closed:
+            self.closed = True
             self.transport.abort()
 
     def eof_received(self) -> bool:
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.let_go()
-        if not self.lost:
-            self.lost = True
+        self.release_resources()
+        if not self.closed:
+            self.closed = True
             self.owner.on_lost(self)
 
-    def let_go(self) -> None:
+    def release_resources(self) -> None:
         """The connection has ended: give back what is held, and undo what would be a cycle."""
 
     def fail(self) -> None:
         """End what is out, and the connection, for what came or did not come on it."""
-        if not self.lost:
+        if not self.closed:
             self.close()
             self.owner.on_lost(self)
 
 
-class Sent:
+class NoReply:
     """In place of a reply: a call that has none has left, its last byte included. Nothing can be learned of it."""
 
     def load(self) -> LoadReport | None:
         return None
 
 
-SENT = Sent()
+NO_REPLY = NoReply()
--- a/eiderhub/sidecar/upstream.py
+++ b/eiderhub/sidecar/upstream.py
@@ -12,9 +12,9 @@
 from typing import Any, NamedTuple
 
 from eiderhub.interface import Outcome
-from eiderhub.sidecar.bounds import Budget
-from eiderhub.sidecar.clock import Alarm, now_us
-from eiderhub.sidecar.seam import Link, Reply, Wire
+from eiderhub.sidecar.clock import Timer, now_us
+from eiderhub.sidecar.protocol_interface import ClientProtocol, EndpointConnection, Reply
+from eiderhub.sidecar.resource_limits import ByteBudget
 
 IDLE_SHARE = 0.85  # of the time after which endpoints close idle connections, how long we keep them
 IDLE_US = 5_000_000  # that time, where it is not told
@@ -27,25 +27,34 @@
     """One try of a request at one endpoint. It ends once; `on_end` is told how."""
 
     __slots__ = (
-        "alarm", "begun", "connection", "data", "endpoint", "number", "on_end", "over", "sent_us", "wire",
+        "alarm",
+        "begun",
+        "connection",
+        "data",
+        "endpoint",
+        "number",
+        "on_end",
+        "over",
+        "protocol",
+        "sent_us",
     )  # fmt: skip
 
     def __init__(
         self,
         number: int,
         endpoint: str,
-        wire: Wire,
+        protocol: ClientProtocol,
         data: Callable[[int], Any],
         on_end: Callable[[Attempt, Outcome, Any], None],
     ) -> None:
         self.number = number
         self.endpoint = endpoint
-        self.wire = wire
+        self.protocol = protocol
         self.data = data  # what to send, made as it goes out, or None where the time is up
         self.on_end = on_end
         self.sent_us = now_us()
-        self.connection: Link | None = None
-        self.alarm: Alarm | None = None
+        self.connection: EndpointConnection | None = None
+        self.alarm: Timer | None = None
         self.begun = False  # whether any of it may have left
         self.over = False
 
@@ -66,7 +75,7 @@
         self.end(outcome)
 
 
-class Home(NamedTuple):
+class Target(NamedTuple):
     """The address and the process of an endpoint: what was opened to another is not used again."""
 
     host: str
@@ -77,93 +86,93 @@
 class Pool:
     """The connections to one endpoint, each of the wire that its attempts speak."""
 
-    def __init__(self, upstream: Upstream, home: Home, labels: frozenset[str]) -> None:
+    def __init__(self, upstream: Upstream, target: Target, labels: frozenset[str]) -> None:
         self.upstream = upstream
         self.labels = labels  # what the endpoint states of itself
-        self.home = home
+        self.target = target
         self.ready = True
-        self.idle: list[Link] = []  # nothing is out on them; the most recently used last
-        self.shared: list[Link] = []  # at work, with room for more
+        self.idle: list[EndpointConnection] = []  # nothing is out on them; the most recently used last
+        self.shared: list[EndpointConnection] = []  # at work, with room for more
 
-    def take(self, wire: Wire) -> Link | None:
+    def take(self, protocol: ClientProtocol) -> EndpointConnection | None:
         """The connection used most recently, so that the others can age and go."""
         now = now_us()
         for link in self.shared:
-            if link.wire is wire and link.room > 0 and link.home == self.home:
+            if link.protocol is protocol and link.free_slots > 0 and link.target == self.target:
                 return link
         idle = self.idle
         for at in range(len(idle) - 1, -1, -1):
             link = idle[at]
-            if link.wire is not wire or now - link.answered_us < link.settle_us:
+            if link.protocol is not protocol or now - link.last_reply_us < link.reuse_delay_us:
                 continue
             del idle[at]
-            if not link.stale():
+            if not link.is_stale():
                 return link
             link.close()
-            self.upstream.open -= 1
+            self.upstream.open_connections -= 1
         return None
 
     def close_idle(self, used_before_us: int | None = None) -> None:
-        while self.idle and (used_before_us is None or self.idle[0].idle_since < used_before_us):
+        while self.idle and (used_before_us is None or self.idle[0].idle_since_us < used_before_us):
             self.idle.pop(0).close()
-            self.upstream.open -= 1
+            self.upstream.open_connections -= 1
 
-    def write(self, attempt: Attempt, link: Link, data: Any) -> None:
+    def write(self, attempt: Attempt, link: EndpointConnection, data: Any) -> None:
         attempt.begun = True
-        link.begin(attempt, data)
+        link.start_attempt(attempt, data)
         attempt.connection = link
         self.upstream.active[link] = None
-        if link.room > 0 and link not in self.shared:
+        if link.free_slots > 0 and link not in self.shared:
             self.shared.append(link)
 
     # --- what its connections tell ---
 
-    def on_response(self, link: Link, attempt: Attempt | None, reply: Reply, reusable: bool) -> None:
+    def on_response(self, link: EndpointConnection, attempt: Attempt | None, reply: Reply, reusable: bool) -> None:
         if not reusable:
             self._forget(link)
-            self.upstream.open -= 1
+            self.upstream.open_connections -= 1
         elif not link.busy:
             self._forget(link)
-            link.answered_us = now_us()
+            link.last_reply_us = now_us()
             self.rest(link)
         if attempt is not None:
             attempt.connection = None
             attempt.end(link.outcome(reply), reply)
 
-    def on_lost(self, link: Link) -> None:
-        self.upstream.open -= 1
+    def on_lost(self, link: EndpointConnection) -> None:
+        self.upstream.open_connections -= 1
         self._forget(link)
         if link in self.idle:
             self.idle.remove(link)
-        for attempt, outcome in link.lose():
+        for attempt, outcome in link.detach_attempts():
             attempt.connection = None
             attempt.end(outcome)
 
-    def _forget(self, link: Link) -> None:
+    def _forget(self, link: EndpointConnection) -> None:
         self.upstream.active.pop(link, None)
         if self.shared and link in self.shared:
             self.shared.remove(link)
 
-    def rest(self, link: Link) -> None:
-        if self.ready and link.home == self.home:
-            link.idle_since = now_us()
+    def rest(self, link: EndpointConnection) -> None:
+        if self.ready and link.target == self.target:
+            link.idle_since_us = now_us()
             self.idle.append(link)
         else:
             link.close()
-            self.upstream.open -= 1
+            self.upstream.open_connections -= 1
 
 
 class Upstream:
     """All pools, and the bound on their connections together."""
 
-    def __init__(self, idle_us: int, connect_timeout_us: int, most: int, budget: Budget) -> None:
+    def __init__(self, idle_us: int, connect_timeout_us: int, most: int, budget: ByteBudget) -> None:
         self.keep_us = int(IDLE_SHARE * (idle_us or IDLE_US))
         self.connect_timeout_s = connect_timeout_us / 1e6
         self.most = most
-        self.open = 0  # connections that are up or coming up
+        self.open_connections = 0  # connections that are up or coming up
         self.budget = budget
         self.pools: dict[str, Pool] = {}  # of the endpoints that are ready, and no others
-        self.active: dict[Link, None] = {}  # with an attempt out on them
+        self.active: dict[EndpointConnection, None] = {}  # with an attempt out on them
         self._connecting: set[asyncio.Task[None]] = set()
         self.refused: Callable[[str], None] | None = None  # who is told of endpoints where nobody listens
 
@@ -178,23 +187,23 @@
             for pool in self.pools.values():
                 pool.close_idle(now - self.keep_us)
             for connection in list(self.active):
-                if 0 < connection.heard_us < now - STALL_US:
+                if 0 < connection.partial_read_us < now - STALL_US:
                     connection.fail()
 
-    def place(
+    def set_endpoint(
         self, endpoint: str, host: str, port: int, launched_us: int, labels: frozenset[str] = frozenset()
     ) -> None:
         """An endpoint that is ready; where its address is another, or its process, old connections go."""
-        pool, home = self.pools.get(endpoint), Home(host, port, launched_us)
+        pool, target = self.pools.get(endpoint), Target(host, port, launched_us)
         if pool is None:
-            self.pools[endpoint] = Pool(self, home, labels)
+            self.pools[endpoint] = Pool(self, target, labels)
             return
         pool.labels = labels
-        if pool.home != home:
+        if pool.target != target:
             pool.close_idle()
-            pool.home = home
+            pool.target = target
 
-    def retire(self, endpoint: str) -> None:
+    def remove_endpoint(self, endpoint: str) -> None:
         """An endpoint that drains or is gone: what it has may end, nothing new begins.
 
         Its pool is forgotten here, or ids that are ever new would add up; what is out still knows it.
@@ -216,11 +225,11 @@
         if pool is None:
             loop.call_soon(attempt.end, Outcome.CONNECT_FAILED)
             return
-        link = pool.take(attempt.wire.at(pool.labels))
+        link = pool.take(attempt.protocol.for_labels(pool.labels))
         if link is not None:
             self._write(attempt, link, pool)
-        elif self.open < self.most or self._make_room():
-            self.open += 1
+        elif self.open_connections < self.most or self._make_room():
+            self.open_connections += 1
             task = loop.create_task(self._connect(attempt, pool))
             self._connecting.add(task)
             task.add_done_callback(self._connecting.discard)
@@ -232,38 +241,38 @@
         pools = [pool for pool in self.pools.values() if pool.idle]
         if not pools:
             return False
-        oldest = min(pools, key=lambda pool: pool.idle[0].idle_since)
+        oldest = min(pools, key=lambda pool: pool.idle[0].idle_since_us)
         oldest.idle.pop(0).close()
-        self.open -= 1
+        self.open_connections -= 1
         return True
 
     async def _connect(self, attempt: Attempt, pool: Pool) -> None:
-        connection = attempt.wire.at(pool.labels).link(pool, self.budget)
-        connection.home = home = pool.home
+        connection = attempt.protocol.for_labels(pool.labels).new_connection(pool, self.budget)
+        connection.target = target = pool.target
         try:
             # A machine that has vanished says nothing: a connection that does not come up has to be given up.
             async with asyncio.timeout(self.connect_timeout_s):
-                await asyncio.get_running_loop().create_connection(lambda: connection, home.host, home.port)
+                await asyncio.get_running_loop().create_connection(lambda: connection, target.host, target.port)
         except Exception as error:  # whatever a list may name as an address: each attempt has to end
             if not isinstance(error, OSError):
-                log.error("endpoint %s at %s:%d: %s", attempt.endpoint, home.host, home.port, error)
-            if isinstance(error, ConnectionRefusedError) and pool.ready and home == pool.home and self.refused:
+                log.error("endpoint %s at %s:%d: %s", attempt.endpoint, target.host, target.port, error)
+            if isinstance(error, ConnectionRefusedError) and pool.ready and target == pool.target and self.refused:
                 self.refused(attempt.endpoint)
-            self.open -= 1
+            self.open_connections -= 1
             attempt.end(Outcome.CONNECT_FAILED)
             return
-        if connection.lost:  # it broke at once; `on_lost` has counted it
+        if connection.closed:  # it broke at once; `on_lost` has counted it
             attempt.end(Outcome.CONNECT_FAILED)
         elif attempt.over:  # given up meanwhile: the handshake is paid, the next attempt may use it
             pool.rest(connection)
-        elif not pool.ready or home != pool.home:
+        elif not pool.ready or target != pool.target:
             # Rule 3: the drain was told while the connection came up, or that the endpoint is elsewhere by now.
             pool.rest(connection)
             attempt.end(Outcome.CONNECT_FAILED)
         else:
             self._write(attempt, connection, pool)
 
-    def _write(self, attempt: Attempt, link: Link, pool: Pool) -> None:
+    def _write(self, attempt: Attempt, link: EndpointConnection, pool: Pool) -> None:
         data = attempt.data(now_us())
         if data is None:
             self._spare(attempt, link, pool)
@@ -273,7 +282,7 @@
         except ValueError:
             self._spare(attempt, link, pool)
 
-    def _spare(self, attempt: Attempt, link: Link, pool: Pool) -> None:
+    def _spare(self, attempt: Attempt, link: EndpointConnection, pool: Pool) -> None:
         """Nothing was written: the link is as it was."""
         if not link.busy:
             pool.rest(link)
--- a/tests/conformance/test_scenarios.py
+++ b/tests/conformance/test_scenarios.py
@@ -203,7 +203,7 @@
         done, pending = await asyncio.wait(tasks, timeout=1.2)
         assert now_us() - begun < 2_000_000
         assert done and {task.result() for task in done} == {REFUSED}
-        taken = sum(fake.asked.qsize() for fake in world.sidecar.endpoints)
+        taken = sum(fake.received.qsize() for fake in world.sidecar.endpoints)
         assert len(pending) == taken > 0
         for task in pending:
             task.cancel()
@@ -216,7 +216,7 @@
         caller = await world.caller()
         caller.send("pay")
         _, call = await world.runs_next()
-        world.sidecar.callers.draining = world.sidecar.callers.leaving = True
+        world.sidecar.callers.draining = world.sidecar.callers.closing = True
         world.sidecar.callers.close_idle()
         call.reply()
         assert await caller.outcome() == SERVED
--- a/tests/conformance/worlds.py
+++ b/tests/conformance/worlds.py
@@ -15,7 +15,7 @@
 from eiderhub.protocols.thrift.plan import Options
 from eiderhub.protocols.thrift.wire import Encoding
 from standins.consul import instance
-from tests.sidecar_support import Asked, Client, Fake, Sidecar, row
+from tests.sidecar_support import Client, FakeServer, ReceivedRequest, Sidecar, row
 from tests.thrift.peers import SHED, AskedThrift, ThriftClient, ThriftFake
 
 SERVED, REFUSED, FAILED = "served", "refused", "failed"
@@ -78,22 +78,22 @@
         found: Caller = await self.connect()
         return found
 
-    async def asked(self) -> tuple[int, Asked]:
+    async def asked(self) -> tuple[int, ReceivedRequest]:
         """The next call that any endpoint gets whole, and which one."""
         while True:
             for number, fake in enumerate(self.sidecar.endpoints):
-                if not fake.asked.empty():
-                    return number, fake.asked.get_nowait()
+                if not fake.received.empty():
+                    return number, fake.received.get_nowait()
             await asyncio.sleep(0.002)
 
-    async def runs_next(self) -> tuple[int, Asked]:
+    async def runs_next(self) -> tuple[int, ReceivedRequest]:
         """As `asked`; the call runs."""
         number, call = await self.asked()
         self.runs.append(number)
         return number, call
 
     def nothing_else(self) -> bool:
-        return all(fake.asked.empty() for fake in self.sidecar.endpoints)
+        return all(fake.received.empty() for fake in self.sidecar.endpoints)
 
     async def list(self, *states: str, started_ms: int = 0) -> None:
         """What discovery tells of the endpoints, in their order; it has been heard then."""
@@ -117,7 +117,7 @@
                 status = "critical" if state == "draining" else "passing"
                 found.append(instance("web", fake.address, status, **meta))
         self.sidecar.consul.set("web", *found)
-        await self.sidecar.heard_consul()
+        await self.sidecar.wait_for_consul()
 
     async def close(self, endpoint: int) -> None:
         """Nobody listens there any more."""
@@ -127,7 +127,7 @@
             writer.transport.abort()
 
 
-def http_shed(call: Asked) -> None:
+def http_shed(call: ReceivedRequest) -> None:
     call.reply(503, b"", "Srv-Declined: 1")
 
 
@@ -171,4 +171,4 @@
     "compact to binary": thrift_world(Encoding.COMPACT, Encoding.BINARY),
 }
 
-__all__ = ["FAILED", "REFUSED", "SERVED", "WORLDS", "Caller", "Fake", "World"]
+__all__ = ["FAILED", "REFUSED", "SERVED", "WORLDS", "Caller", "FakeServer", "World"]
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -24,6 +24,6 @@
     """Connections to endpoints rest a moment after an answer; tests of what is used again go on at once.
 
     Without this they would pass for the wrong reason: each request would have a fresh connection. What the rest is for,
-    tests/test_crossing.py shows with it.
+    tests/test_connection_races.py shows with it.
     """
-    monkeypatch.setattr(Connection, "settle_us", 0)
+    monkeypatch.setattr(Connection, "reuse_delay_us", 0)
--- a/tests/membership/test_client.py
+++ b/tests/membership/test_client.py
@@ -23,9 +23,9 @@
 from standins.consul import Consul, instance
 from standins.http import answer
 from standins.program import running
-from tests.sidecar_support import SETUP, Fake, Sidecar, row, run
+from tests.sidecar_support import SETUP, FakeServer, Sidecar, row, run
 from tests.sidecar_support import Client as Caller
-from tests.test_sidecar import Answers, direct
+from tests.test_sidecar import RecordingCaller, direct_request
 
 
 def options(*agents: Consul, **changes: Any) -> Options:
@@ -142,7 +142,7 @@
         source = add_consul_source(options(agent), world.host)
         known = [row(f"s-{i}", fake.address) for i, fake in enumerate(world.endpoints)]
         listing = read_endpoint_list({"generation": 1, "reset": True, "instances": known})
-        world.host.heard(ListForm.CACHED, listing.entries)  # as at the start, which is over here
+        world.host.list_receiver(ListForm.CACHED, listing.entries)  # as at the start, which is over here
         source.start()
         while len(agent.requests) < 2:  # the first answer has been read
             await asyncio.sleep(0.002)
@@ -174,7 +174,7 @@
                 client.send("look")
                 (await second.next()).reply()
                 assert (await client.answer()).status == 200
-            assert first.asked.empty()
+            assert first.received.empty()
             agent.set("web", *[instance("web", fake.address) for fake in world.endpoints])
             while "s-0" not in world.host.upstream.pools:
                 await asyncio.sleep(0.002)
@@ -198,7 +198,7 @@
 
 def test_the_real_program_takes_endpoints_from_consul_alone(tmp_path: Path) -> None:
     async def test() -> None:
-        fake = await Fake().start()
+        fake = await FakeServer().start()
         agent = await Consul().start()
         agent.set("web", instance("web", fake.address))
         document = {
@@ -259,13 +259,13 @@
             client = await world.client()
             for _ in range(3):
                 world.consul.set("web")
-                await world.heard_consul()
+                await world.wait_for_consul()
                 begun = time.monotonic()
                 client.send("look")
                 assert (await client.answer()).status == 503
-                assert time.monotonic() - begun < 0.5 and fake.asked.empty()
+                assert time.monotonic() - begun < 0.5 and fake.received.empty()
                 world.consul.set("web", instance("web", fake.address))
-                await world.heard_consul()
+                await world.wait_for_consul()
                 clients = [await world.client() for _ in range(5)]
                 for one in clients:  # a cold endpoint would be sent one at the most
                     one.send("look")
@@ -282,7 +282,7 @@
             first, second = world.endpoints
             rows = [row("s-0", first.address, "draining")]
             listed = read_endpoint_list({"generation": 2, "reset": False, "instances": rows})
-            world.host.heard(ListForm.DELTA, listed.entries)
+            world.host.list_receiver(ListForm.DELTA, listed.entries)
             client = await world.client()
             for silent in (False, True):
                 if silent:
@@ -291,7 +291,7 @@
                     client.send("look")
                     (await second.next()).reply()
                     assert (await client.answer()).status == 200
-            assert first.asked.empty()
+            assert first.received.empty()
 
     run(test())
 
@@ -303,7 +303,7 @@
         instance("web", fake.address, "critical" if i in held else "passing") for i, fake in enumerate(world.endpoints)
     ]
     world.consul.set("web", *rows)
-    await world.heard_consul()
+    await world.wait_for_consul()
 
 
 def test_a_drain_told_before_a_retry_leaves_keeps_it_away() -> None:
@@ -319,7 +319,7 @@
             again = asyncio.create_task(world.endpoints[1 - other].next())
             await asyncio.wait((answered, again), return_when=asyncio.FIRST_COMPLETED)
             again.cancel()
-            assert world.endpoints[other].asked.empty()
+            assert world.endpoints[other].received.empty()
             answered.cancel()
 
     run(test())
@@ -334,13 +334,13 @@
                 client.send("look")
             out = [await fake.next()]
             await drains(world, 0)
-            while not fake.asked.empty():
-                out.append(fake.asked.get_nowait())
+            while not fake.received.empty():
+                out.append(fake.received.get_nowait())
             for asked in out:
                 asked.reply()
             statuses = [(await client.answer()).status for client in clients]
             assert statuses.count(200) == len(out) < 40 and set(statuses) == {200, 503}
-            assert fake.asked.empty()
+            assert fake.received.empty()
 
     run(test())
 
@@ -348,14 +348,14 @@
 def test_a_drain_told_while_a_connection_comes_up_keeps_the_request_from_it() -> None:
     async def test() -> None:
         async with Sidecar(1, consul=True) as world:
-            caller = Answers()
-            world.host.take(direct(caller))
+            caller = RecordingCaller()
+            world.host.accept(direct_request(caller))
             (fake,) = world.endpoints
             critical = read_health(json.dumps([instance("web", fake.address, "critical")]).encode(), Meaning())
             telling = asyncio.create_task(world.source.told("web", critical.entries))
             assert await caller.all.get() == 503
             await telling
-            assert fake.asked.empty()
+            assert fake.received.empty()
 
     run(test())
 
@@ -372,7 +372,7 @@
             assert list(world.host.balancer.endpoints.values()) == [state]
             assert state.is_ready and state.load_weight is learned
             world.consul.set("web", instance("web", fake.address, started_ms=str(time.time_ns() // 1_000_000)))
-            await world.heard_consul()
+            await world.wait_for_consul()
             assert world.host.balancer.endpoints[state.id].load_weight is not learned
 
     run(test())
--- a/tests/refusing.py
+++ b/tests/restricted_sidecar.py
@@ -1,4 +1,5 @@
-"""Starts the sidecar with what the fleet's platform refuses refused in this process too: `python -m tests.refusing`.
+"""Starts the sidecar with what the fleet's platform refuses refused in this process too:
+`python -m tests.restricted_sidecar`.
 
 Other programs, fork, splice and sendfile; sockets that are neither TCP nor UDP over IPv4 may not be bound or connected.
 What libuv does in C passes no hook: the test looks at the process from outside for that.
--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -23,11 +23,11 @@
 from eiderhub.protocols.thrift.plan import Options
 from eiderhub.routing.plan import Plan
 from eiderhub.settings import parse_settings
-from eiderhub.sidecar.bounds import Bounds
 from eiderhub.sidecar.callers import Callers
 from eiderhub.sidecar.config import Address, Config
 from eiderhub.sidecar.discovery import Watcher
 from eiderhub.sidecar.host import Host
+from eiderhub.sidecar.resource_limits import ResourceLimits
 from standins.consul import Consul, instance
 from standins.discovery import listing, row
 from standins.http import Message, answer, leave, read_message
@@ -86,7 +86,7 @@
         runner.run(bounded())
 
 
-class Asked:
+class ReceivedRequest:
     """A request as an endpoint or discovery got it; the test says what comes back."""
 
     def __init__(self, message: Message, writer: asyncio.StreamWriter, connection: int) -> None:
@@ -101,16 +101,16 @@
         self.writer.transport.abort()
 
 
-class Fake:
+class FakeServer:
     """A server whose every request waits for the test's word."""
 
     def __init__(self) -> None:
-        self.asked: asyncio.Queue[Asked] = asyncio.Queue()
+        self.received: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
         self.connections = 0
         self.writers: list[asyncio.StreamWriter] = []
         self.ends: asyncio.Queue[int] = asyncio.Queue()  # connections that the other side ended
 
-    async def start(self) -> Fake:
+    async def start(self) -> FakeServer:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
         return self
@@ -121,14 +121,14 @@
         self.writers.append(writer)
         try:
             while True:
-                self.asked.put_nowait(Asked(await read_message(reader), writer, number))
+                self.received.put_nowait(ReceivedRequest(await read_message(reader), writer, number))
         except (asyncio.IncompleteReadError, ConnectionError):
             self.ends.put_nowait(number)
         finally:
             writer.close()
 
-    async def next(self) -> Asked:
-        return await self.asked.get()
+    async def next(self) -> ReceivedRequest:
+        return await self.received.get()
 
 
 class Client:
@@ -166,7 +166,7 @@
     async def answer(self) -> Message:
         return await read_message(self.reader)
 
-    async def ask(self, grade: str = "pay", **values: Any) -> Message:
+    async def request(self, grade: str = "pay", **values: Any) -> Message:
         self.send(grade, **values)
         return await self.answer()
 
@@ -182,20 +182,20 @@
         held: int = 1 << 24,
         plan: Plan | None = None,
         thrift: Options | None = None,
-        fake: Callable[[], Fake] | None = None,
+        fake: Callable[[], FakeServer] | None = None,
         consul: bool = False,
         **settings: Any,
     ) -> None:
         self.plan = plan
         self.thrift = thrift
-        self.fake = fake or Fake
+        self.fake = fake or FakeServer
         self.count = endpoints
         self.consul = Consul() if consul else None  # the only source of endpoints, then
-        self.bounds = Bounds(callers, upstream, held)
+        self.bounds = ResourceLimits(callers, upstream, held)
         self.setup = {**SETUP, **settings}
 
     async def __aenter__(self) -> Sidecar:
-        self.discovery = await Fake().start()
+        self.discovery = await FakeServer().start()
         self.endpoints = [await self.fake().start() for _ in range(self.count)]
         rows = [row(f"s-{i}", fake.address) for i, fake in enumerate(self.endpoints)]
         host, _, port = self.discovery.address.rpartition(":")
@@ -211,9 +211,9 @@
         )
         self.host = Host(self.config)
         self.sweep = asyncio.create_task(self.host.upstream.sweep())
-        self.callers = Callers(self.bounds.callers, self.host.longest_s, self.host.budget)
+        self.callers = Callers(self.bounds.caller_connections, self.host.max_deadline_s, self.host.budget)
         self.server = Server(self.host, self.callers)
-        self.watch = asyncio.create_task(self.callers.watch())
+        self.watch = asyncio.create_task(self.callers.watch_timeouts())
         await self.server.bind("127.0.0.1", 0)
         if self.thrift is not None:
             thrift = thrift_server.Server(self.host, self.callers, self.thrift)
@@ -229,7 +229,7 @@
         if source is not None:
             source.start()
             self.source = source
-            await self.heard_consul()
+            await self.wait_for_consul()
         if self.thrift is not None:
             await self.thrift_listener.start_serving()
             self.thrift_port = self.thrift_listener.sockets[0].getsockname()[1]
@@ -237,7 +237,7 @@
         self.port = self.server.listener.sockets[0].getsockname()[1]
         return self
 
-    async def heard_consul(self) -> None:
+    async def wait_for_consul(self) -> None:
         """Until all that Consul says now has been read."""
         assert self.consul is not None
         while not self.consul.requests or f"index={self.consul.index}&" not in self.consul.requests[-1]:
@@ -264,12 +264,12 @@
     async def client(self) -> Client:
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
-    async def next(self) -> Asked:
+    async def next(self) -> ReceivedRequest:
         """The next request that any endpoint gets."""
-        return await first_asked(self)
+        return await next_request(self)
 
 
-def started(tmp_path: Path, changes: dict[str, Any], *words: str, **variables: str) -> subprocess.Popen[str]:
+def start_process(tmp_path: Path, changes: dict[str, Any], *words: str, **variables: str) -> subprocess.Popen[str]:
     """The program as a process of its own, told by a file in `tmp_path` and by these variables."""
     document = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f", **changes}
     path = tmp_path / "config.json"
@@ -283,14 +283,14 @@
     )
 
 
-async def one_attempt(sidecar: Sidecar, grade: str = "pay") -> tuple[Asked, Client]:
+async def one_attempt(sidecar: Sidecar, grade: str = "pay") -> tuple[ReceivedRequest, Client]:
     """Send one request and return the endpoint's side of it, wherever it went, and the client."""
     client = await sidecar.client()
     client.send(grade)
-    return await first_asked(sidecar), client
+    return await next_request(sidecar), client
 
 
-async def first_asked(sidecar: Sidecar) -> Asked:
+async def next_request(sidecar: Sidecar) -> ReceivedRequest:
     """The next request that any endpoint gets."""
     waits = [asyncio.create_task(fake.next()) for fake in sidecar.endpoints]
     done, pending = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
@@ -299,7 +299,7 @@
     return done.pop().result()
 
 
-async def all_go_to(endpoint: Fake, client: Client, calls: int = 6) -> None:
+async def assert_all_go_to(endpoint: FakeServer, client: Client, calls: int = 6) -> None:
     """Serve so many calls, each of which this endpoint has to get."""
     for _ in range(calls):
         client.send()
@@ -307,7 +307,7 @@
         assert (await client.answer()).status == 200
 
 
-async def ready(client: Client) -> int:
+async def readiness_status(client: Client) -> int:
     client.writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
     return (await client.answer()).status
 
@@ -315,7 +315,7 @@
 class Program:
     """The program in service as a process of its own, with one fake endpoint."""
 
-    def __init__(self, process: subprocess.Popen[str], endpoint: Fake, address: tuple[str, int]) -> None:
+    def __init__(self, process: subprocess.Popen[str], endpoint: FakeServer, address: tuple[str, int]) -> None:
         self.process = process
         self.endpoint = endpoint
         self.address = address
@@ -333,7 +333,7 @@
 
 @contextlib.asynccontextmanager
 async def program(tmp_path: Path, changes: dict[str, Any], *words: str, **variables: str) -> AsyncIterator[Program]:
-    endpoint = await Fake().start()
+    endpoint = await FakeServer().start()
     with socket.create_server(("127.0.0.1", 0)) as free:
         address = free.getsockname()
     document = {
@@ -342,7 +342,7 @@
         "known": json.loads(listing(1, True, row("s-0", endpoint.address))),
         **changes,
     }
-    process = started(tmp_path, document, *words, **variables)
+    process = start_process(tmp_path, document, *words, **variables)
     try:
         running = Program(process, endpoint, address)
         await running.line_with("serves on")
--- a/tests/test_leaving.py
+++ b/tests/test_caller_disconnects.py
@@ -9,20 +9,20 @@
 
 from eiderhub.interface import Outcome
 from eiderhub.protocols.http1.server import MAX_BEHIND
-from eiderhub.sidecar.callers import CHECK_S
-from tests.sidecar_support import SETUP, Client, Fake, Sidecar, first_asked, leave, run
-from tests.test_sidecar import Answers, direct
+from eiderhub.sidecar.callers import CHECK_INTERVAL_S
+from tests.sidecar_support import SETUP, Client, FakeServer, Sidecar, leave, next_request, run
+from tests.test_sidecar import RecordingCaller, direct_request
 
 LIMIT_S = 0.3  # the users' term, from the end that the caller made to the last byte sent on for it
 
 
-async def called_off(fake: Fake) -> None:
+async def called_off(fake: FakeServer) -> None:
     """Until the attempt that is out has been given up, which is how an endpoint hears of it."""
     await fake.ends.get()
 
 
 def test_callers_that_are_not_read_are_looked_at_well_within_the_term() -> None:
-    assert 2 * CHECK_S < LIMIT_S
+    assert 2 * CHECK_INTERVAL_S < LIMIT_S
 
 
 @pytest.mark.parametrize("behind", [1, MAX_BEHIND], ids=["one behind it", "more behind it than is read"])
@@ -45,9 +45,9 @@
             leave(client.writer, how)
             await called_off(sidecar.endpoints[0])
             assert not sidecar.host.requests and not sidecar.host.balancer.calls
-            assert not sidecar.callers.open_ids
-            assert sidecar.host.budget.held == 0
-            assert sidecar.endpoints[0].asked.empty()
+            assert not sidecar.callers.open_request_ids
+            assert sidecar.host.budget.used == 0
+            assert sidecar.endpoints[0].received.empty()
 
     run(test())
 
@@ -68,7 +68,7 @@
             assert (await other.answer()).status == 200
             while sidecar.host.requests:
                 await asyncio.sleep(0)
-            sent = sidecar.endpoints[0].asked.qsize()
+            sent = sidecar.endpoints[0].received.qsize()
             assert not sidecar.host.balancer.calls and not sidecar.host.balancer.queue.count
             client = await sidecar.client()  # the room that those took is there again
             client.send()
@@ -88,11 +88,11 @@
             for client in clients:
                 client.send("pay", deadline_ms=30_000)
             out = [await fake.next()]
-            while sidecar.host.balancer.queue.count == 0 or fake.asked.qsize() + len(out) < sum(
+            while sidecar.host.balancer.queue.count == 0 or fake.received.qsize() + len(out) < sum(
                 request.out for request in sidecar.host.requests.values()
             ):
                 await asyncio.sleep(0)
-            while not fake.asked.empty():
+            while not fake.received.empty():
                 out.append(await fake.next())
             held = [r for r in sidecar.host.requests.values() if not r.out]
             assert held
@@ -118,10 +118,10 @@
 def test_a_caller_that_leaves_while_a_connection_comes_up_is_not_sent_on() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
-            request = direct(Answers())
-            sidecar.host.take(request)
-            assert sidecar.host.upstream.open == 1 and not sidecar.endpoints[0].connections
-            sidecar.host.gone(request)
+            request = direct_request(RecordingCaller())
+            sidecar.host.accept(request)
+            assert sidecar.host.upstream.open_connections == 1 and not sidecar.endpoints[0].connections
+            sidecar.host.cancel_request(request)
             client = await sidecar.client()
             client.send(body=b"next")
             asked = await sidecar.endpoints[0].next()
@@ -139,20 +139,20 @@
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            request = direct(Answers(), "look")
-            sidecar.host.take(request)
-            asked = await first_asked(sidecar)
+            request = direct_request(RecordingCaller(), "look")
+            sidecar.host.accept(request)
+            asked = await next_request(sidecar)
             (attempt,) = request.attempts
             if first == "end":
-                sidecar.host.gone(request)
+                sidecar.host.cancel_request(request)
                 attempt.drop(Outcome.RESET)
             else:
                 attempt.drop(Outcome.RESET)  # the module sends another at once; its connection is still to come up
                 assert len(request.attempts) == 2
-                sidecar.host.gone(request)
+                sidecar.host.cancel_request(request)
             client = await sidecar.client()
             client.send("pay", body=b"next")
-            asked = await first_asked(sidecar)
+            asked = await next_request(sidecar)
             assert asked.message.body == b"next"  # nothing of the other went out meanwhile
             asked.reply()
             assert (await client.answer()).status == 200
@@ -183,11 +183,11 @@
                 (await sidecar.endpoints[0].next()).reply(200, b"x" * 60_000)
                 while sidecar.host.requests:
                     await asyncio.sleep(0)
-                (caller,) = sidecar.callers.all
+                (caller,) = sidecar.callers.connections
                 for _ in range(3):  # what the loop has yet to hand to the kernel does not count
                     await asyncio.sleep(0)
                 held = caller.transport.get_write_buffer_size()
-                assert not caller.stuck  # an answer is smaller than what may be written ahead
+                assert not caller.write_blocked  # an answer is smaller than what may be written ahead
             client.send()
             await sidecar.endpoints[0].next()
             transport.write_eof()
@@ -217,6 +217,6 @@
             while sidecar.host.requests:
                 await asyncio.sleep(0)
             assert len(told) <= 1
-            assert not sidecar.host.balancer.calls and sidecar.host.upstream.open <= 1
+            assert not sidecar.host.balancer.calls and sidecar.host.upstream.open_connections <= 1
 
     run(test())
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -12,7 +12,7 @@
 
 from eiderhub.sidecar import callers as server
 from eiderhub.sidecar.clock import now_us
-from tests.sidecar_support import Sidecar, program, ready, run
+from tests.sidecar_support import Sidecar, program, readiness_status, run
 
 
 def test_client_gone_stops_the_attempt() -> None:
@@ -33,7 +33,7 @@
     async def test() -> None:
         async with Sidecar(endpoints=0) as sidecar:
             begun = time.monotonic()
-            answer = await (await sidecar.client()).ask("look", deadline_ms=3000)
+            answer = await (await sidecar.client()).request("look", deadline_ms=3000)
             assert answer.status == 503
             assert float(answer.headers["retry-after"]) > 0
             assert time.monotonic() - begun < 2.0
@@ -89,9 +89,9 @@
             client.writer.write(raw.encode("latin-1"))
             assert (await client.answer()).status == status
             assert await client.reader.read() == b""
-            assert sidecar.host.serial == 0
+            assert sidecar.host.accepted_count == 0
             assert sidecar.endpoints[0].connections == 0
-            assert sidecar.host.budget.held == 0
+            assert sidecar.host.budget.used == 0
 
     run(test())
 
@@ -138,8 +138,8 @@
     """Seen: one that said nothing stayed for good, and one half way for ten seconds; three are allowed."""
 
     async def test() -> None:
-        monkeypatch.setattr(server, "FIRST_S", 0.1)
-        monkeypatch.setattr(server, "CHECK_S", 0.02)
+        monkeypatch.setattr(server, "FIRST_REQUEST_TIMEOUT_S", 0.1)
+        monkeypatch.setattr(server, "CHECK_INTERVAL_S", 0.02)
         async with Sidecar() as sidecar:
             asking = await sidecar.client()
             asking.send(deadline_ms=3_000_000)
@@ -152,7 +152,7 @@
             client.writer.close()
             while len(sidecar.callers) > 1:
                 await asyncio.sleep(0.01)
-            assert sidecar.host.budget.held == len(b"x")
+            assert sidecar.host.budget.used == len(b"x")
             asked.reply()
             assert (await asking.answer()).status == 200  # one that waits for its answer is not idle
 
@@ -163,11 +163,11 @@
     """Some ask once and keep their connection for good: without an end to that they add up."""
 
     async def test() -> None:
-        monkeypatch.setattr(server, "IDLE_S", 0.1)
-        monkeypatch.setattr(server, "CHECK_S", 0.02)
+        monkeypatch.setattr(server, "IDLE_TIMEOUT_S", 0.1)
+        monkeypatch.setattr(server, "CHECK_INTERVAL_S", 0.02)
         async with Sidecar() as sidecar:
             client = await sidecar.client()
-            assert await ready(client) == 200
+            assert await readiness_status(client) == 200
             assert await client.reader.read() == b""
             assert not sidecar.callers
 
@@ -180,20 +180,20 @@
     async def test() -> None:
         async with Sidecar(callers=3) as sidecar:
             good = await sidecar.client()
-            assert await ready(good) == 200
+            assert await readiness_status(good) == 200
             silent, younger = await sidecar.client(), await sidecar.client()
             busy = await sidecar.client()
             assert await silent.reader.read() == b""
             busy.send()
             asked = await sidecar.endpoints[0].next()
-            assert await ready(younger) == 200
+            assert await readiness_status(younger) == 200
             # All are at work or were lately: the new one has asked for nothing and is closed at once.
             extra = await sidecar.client()
             assert await extra.reader.read() == b""
-            monkeypatch.setattr(server, "SPARE_S", 0.0)
+            monkeypatch.setattr(server, "EVICTABLE_IDLE_S", 0.0)
             newest = await sidecar.client()
             assert await good.reader.read() == b""  # the one idle longest
-            assert [await ready(newest), await ready(younger)] == [200, 200]
+            assert [await readiness_status(newest), await readiness_status(younger)] == [200, 200]
             asked.reply()
             assert (await busy.answer()).status == 200
 
@@ -209,13 +209,13 @@
             second.send(body=b"x" * 700)
             answer = await second.answer()
             assert (answer.status, answer.headers["retry-after"]) == (503, "1")
-            assert sidecar.host.serial == 1
+            assert sidecar.host.accepted_count == 1
             asked.reply()
             assert (await first.answer()).status == 200
             first.send(body=b"x" * 700)
             (await sidecar.endpoints[0].next()).reply()
             assert (await first.answer()).status == 200
-            assert sidecar.host.budget.held == 0
+            assert sidecar.host.budget.used == 0
 
     run(test())
 
@@ -224,8 +224,8 @@
     """Answers pile up in this process where their caller does not read them."""
 
     async def test() -> None:
-        monkeypatch.setattr(server, "IDLE_S", 0.2)
-        monkeypatch.setattr(server, "CHECK_S", 0.02)
+        monkeypatch.setattr(server, "IDLE_TIMEOUT_S", 0.2)
+        monkeypatch.setattr(server, "CHECK_INTERVAL_S", 0.02)
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -263,8 +263,8 @@
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = await sidecar.client()
-            assert (await client.ask(grade, **changes)).status == status
-            assert sidecar.host.serial == 0
+            assert (await client.request(grade, **changes)).status == status
+            assert sidecar.host.accepted_count == 0
             assert sidecar.endpoints[0].connections == 0
 
     run(test())
@@ -276,7 +276,7 @@
             client = await sidecar.client()
             client.writer.write(b"GET /pay HTTP/1.1\r\nReq-Id: 1\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 9\r\n\r\n")
             assert (await client.answer()).status == 405
-            assert sidecar.host.serial == 0
+            assert sidecar.host.accepted_count == 0
 
     run(test())
 
@@ -287,7 +287,7 @@
             first, second = await sidecar.client(), await sidecar.client()
             first.send(request_id="0a")
             asked = await sidecar.endpoints[0].next()
-            assert (await second.ask(request_id="0a")).status == 409
+            assert (await second.request(request_id="0a")).status == 409
             assert await second.reader.read() == b""
             asked.reply()
             assert (await first.answer()).status == 200
@@ -322,18 +322,18 @@
     """The caller's clock still stood at its request: its last answer could be cut off while it left."""
 
     async def test() -> None:
-        monkeypatch.setattr(server, "CHECK_S", 0.01)
+        monkeypatch.setattr(server, "CHECK_INTERVAL_S", 0.01)
         monkeypatch.setattr(server, "LINGER_S", 0.5)
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send(Connection="close")
             asked = await sidecar.endpoints[0].next()
-            (caller,) = sidecar.callers.all
-            caller.since_us -= 60_000_000
+            (caller,) = sidecar.callers.connections
+            caller.state_since_us -= 60_000_000
             asked.reply(200, b"x" * 60_000)
             answer = await client.answer()
             assert len(answer.body) == 60_000
-            assert now_us() - caller.since_us < 10_000_000
+            assert now_us() - caller.state_since_us < 10_000_000
             assert await client.reader.read() == b""
 
     run(test())
--- a/tests/test_crossing.py
+++ b/tests/test_connection_races.py
@@ -13,11 +13,11 @@
 from eiderhub.interface import ListForm, Outcome
 from eiderhub.membership.endpoint_list import read_endpoint_list
 from eiderhub.protocols.http1.client import HTTP1, SETTLE_US, Connection
-from eiderhub.sidecar.bounds import Budget
+from eiderhub.sidecar.resource_limits import ByteBudget
 from eiderhub.sidecar.upstream import Attempt, Upstream
 from standins.http import answer
-from tests.sidecar_support import Asked, Client, Fake, Sidecar, first_asked, listing, row, run
-from tests.test_sidecar import Answers, direct
+from tests.sidecar_support import Client, FakeServer, ReceivedRequest, Sidecar, listing, next_request, row, run
+from tests.test_sidecar import RecordingCaller, direct_request
 
 
 def listed_at(sidecar: Sidecar, address: str, started_ms: int = 0) -> None:
@@ -44,7 +44,7 @@
             asked.reply(200, b"old")
             assert (await client.answer()).body == b"old"
             client.send()
-            asked = await first_asked(sidecar)
+            asked = await next_request(sidecar)
             assert (asked.connection, old.connections) == (1 if restarted else 0, 2 if restarted else 1)
             assert new.connections == (0 if restarted else 1)
             assert await old.ends.get() == 0
@@ -58,14 +58,14 @@
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
             old, new = sidecar.endpoints
-            caller = Answers()
+            caller = RecordingCaller()
             listed_at(sidecar, old.address)
-            sidecar.host.take(direct(caller, "look"))
+            sidecar.host.accept(direct_request(caller, "look"))
             await asyncio.sleep(0)  # the connection is on its way to the old address
             listed_at(sidecar, new.address)
             assert await caller.all.get() == 503  # it never ran; the only endpoint has been tried
-            assert old.asked.empty()
-            assert await old.ends.get() == 0 and sidecar.host.upstream.open == 0
+            assert old.received.empty()
+            assert await old.ends.get() == 0 and sidecar.host.upstream.open_connections == 0
 
     run(test())
 
@@ -75,7 +75,7 @@
 
 def attempt_to(upstream: Upstream, port: int) -> tuple[Attempt, asyncio.Queue[Outcome]]:
     ended: asyncio.Queue[Outcome] = asyncio.Queue()
-    upstream.place("e", "127.0.0.1", port, 0)
+    upstream.set_endpoint("e", "127.0.0.1", port, 0)
     attempt = Attempt(0, "e", HTTP1, lambda _: b"x", lambda _, outcome, __: ended.put_nowait(outcome))
     upstream.send(attempt)
     return attempt, ended
@@ -85,10 +85,10 @@
     """Seen: an error other than OSError ended the task, and neither the attempt nor its place among the open ones."""
 
     async def test() -> None:
-        upstream = Upstream(0, 1_000_000, 4, Budget(1 << 20))
+        upstream = Upstream(0, 1_000_000, 4, ByteBudget(1 << 20))
         _, ended = attempt_to(upstream, 70_000)
         assert await ended.get() is Outcome.CONNECT_FAILED
-        assert upstream.open == 0
+        assert upstream.open_connections == 0
 
     run(test())
 
@@ -98,8 +98,8 @@
     """Both events stand ready: the loop is held until the time is up, before or after it has seen the connection."""
 
     async def test() -> None:
-        fake = await Fake().start()
-        upstream = Upstream(0, 50_000, 4, Budget(1 << 20))
+        fake = await FakeServer().start()
+        upstream = Upstream(0, 50_000, 4, ByteBudget(1 << 20))
         if held == "when it is seen":
             made = Connection.connection_made
 
@@ -114,7 +114,7 @@
             time.sleep(0.06)
         assert await ended.get() is Outcome.CONNECT_FAILED
         assert await fake.ends.get() == 0  # the descriptor is gone too
-        assert upstream.open == 0 and not upstream.pools["e"].idle and not attempt.begun
+        assert upstream.open_connections == 0 and not upstream.pools["e"].idle and not attempt.begun
         fake.server.close()
 
     run(test())
@@ -125,7 +125,7 @@
 
 def test_a_late_second_answer_reaches_no_other_request(monkeypatch: pytest.MonkeyPatch) -> None:
     """Measured on the fleet's join day: second answers came 1.0 to 2.7 ms late, on connections then idle."""
-    monkeypatch.setattr(Connection, "settle_us", 60_000_000)
+    monkeypatch.setattr(Connection, "reuse_delay_us", 60_000_000)
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -140,13 +140,13 @@
             assert await sidecar.endpoints[0].ends.get() == first.connection
             second.reply(200, b"second")
             assert (await client.answer()).body == b"second"
-            assert sidecar.host.upstream.open == 1
+            assert sidecar.host.upstream.open_connections == 1
 
     run(test())
 
 
 def test_a_connection_is_used_again_once_it_has_rested(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Connection, "settle_us", SETTLE_US)
+    monkeypatch.setattr(Connection, "reuse_delay_us", SETTLE_US)
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -156,13 +156,13 @@
                 (await sidecar.endpoints[0].next()).reply()
                 await client.answer()
                 (link,) = sidecar.host.upstream.pools["s-0"].idle
-                link.answered_us -= SETTLE_US
+                link.last_reply_us -= SETTLE_US
             assert sidecar.endpoints[0].connections == 1
 
     run(test())
 
 
-def end_with(asked: Asked, last: bytes, end: str) -> None:
+def end_with(asked: ReceivedRequest, last: bytes, end: str) -> None:
     """Write and end past the loop: both lie in the kernel before the sidecar's next turn."""
     sock = asked.writer.transport.get_extra_info("socket")
     with socket.socket(fileno=socket.dup(sock.fileno())) as same:
@@ -183,15 +183,15 @@
         async with Sidecar(endpoints=2) as sidecar:
             client = await sidecar.client()
             client.send()
-            asked = await first_asked(sidecar)
+            asked = await next_request(sidecar)
             end_with(asked, answer(200, b"whole"), end)
             assert (await client.answer()).body == b"whole"
             client.send()
-            again = await first_asked(sidecar)
+            again = await next_request(sidecar)
             again.reply(200, b"next")
             assert (await client.answer()).body == b"next"
-            assert sum(fake.asked.qsize() for fake in sidecar.endpoints) == 0
-            assert sidecar.host.upstream.open == 1
+            assert sum(fake.received.qsize() for fake in sidecar.endpoints) == 0
+            assert sidecar.host.upstream.open_connections == 1
 
     run(test())
 
@@ -225,7 +225,7 @@
                 asked.writer.write(b"x")
                 await asyncio.sleep(0.02)
             assert (await client.answer()).status == 504
-            assert sidecar.host.upstream.open == 0 and not sidecar.host.requests
+            assert sidecar.host.upstream.open_connections == 0 and not sidecar.host.requests
 
     run(test())
 
@@ -246,7 +246,7 @@
             asked.reply()
             while first == "answer" and not request.answered:
                 await asyncio.sleep(0)
-            sidecar.host._out_of_time(request)
+            sidecar.host._on_deadline(request)
             assert (await client.answer()).status in ((200,) if first == "answer" else (502, 504))
             await nothing_more(client)
             assert not sidecar.host.requests and not sidecar.host.balancer.calls
--- a/tests/test_crowding.py
+++ b/tests/test_crowding.py
@@ -10,7 +10,7 @@
 from eiderhub.protocols.http1 import server
 from eiderhub.sidecar import callers, host, upstream
 from eiderhub.sidecar.clock import now_us
-from tests.sidecar_support import Asked, Client, Sidecar, run
+from tests.sidecar_support import Client, ReceivedRequest, Sidecar, run
 
 
 class Clock:
@@ -22,15 +22,15 @@
             monkeypatch.setattr(module, "now_us", lambda: self.us)
 
 
-def arrivals(sidecar: Sidecar) -> asyncio.Queue[Asked]:
+def arrivals(sidecar: Sidecar) -> asyncio.Queue[ReceivedRequest]:
     """What all endpoints get from here on, in one queue."""
-    queue: asyncio.Queue[Asked] = asyncio.Queue()
+    queue: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
     for fake in sidecar.endpoints:
-        fake.asked = queue
+        fake.received = queue
     return queue
 
 
-async def serve(queue: asyncio.Queue[Asked], clock: Clock, clients: list[Client], latency_us: int) -> None:
+async def serve(queue: asyncio.Queue[ReceivedRequest], clock: Clock, clients: list[Client], latency_us: int) -> None:
     """Each of these clients asks once; all are answered together, so much later."""
     for client in clients:
         client.send("look")
@@ -43,7 +43,7 @@
 
 
 async def fail_until_ejected(
-    sidecar: Sidecar, queue: asyncio.Queue[Asked], count: int, clock: Clock | None = None
+    sidecar: Sidecar, queue: asyncio.Queue[ReceivedRequest], count: int, clock: Clock | None = None
 ) -> None:
     """The first `count` endpoints fail all that they get, the others serve, until those are left out."""
     client = await sidecar.client()
@@ -57,7 +57,7 @@
         await client.answer()
 
 
-async def reached(sidecar: Sidecar, queue: asyncio.Queue[Asked], count: int) -> int:
+async def reached(sidecar: Sidecar, queue: asyncio.Queue[ReceivedRequest], count: int) -> int:
     """Offer so many calls at once: how many reach endpoints, where none is answered; others are refused."""
     seen: asyncio.Queue[int] = asyncio.Queue()
 
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -12,7 +12,7 @@
 
 from eiderhub.balancer import TokenBuckets
 from eiderhub.interface import Discovery, Limits, ListForm, Outcome, Prices, Rules, Tenant
-from tests.sidecar_support import Sidecar, ready, run
+from tests.sidecar_support import Sidecar, readiness_status, run
 from tests.support import MS, RecordingHost, S, make_endpoints, make_settings
 
 FLEET = 200
@@ -237,7 +237,7 @@
         async with Sidecar(callers=16) as sidecar:
             busy = [await sidecar.client() for _ in range(15)]
             for client in busy:
-                assert await ready(client) == 200
+                assert await readiness_status(client) == 200
                 client.send()
             extra = await sidecar.client()
             extra.send()
@@ -247,7 +247,7 @@
             for _ in busy:
                 (await sidecar.next()).reply()
             assert {(await client.answer()).status for client in busy} == {200}
-            assert sidecar.endpoints[0].asked.empty()
+            assert sidecar.endpoints[0].received.empty()
 
     run(test())
 
@@ -260,7 +260,7 @@
             client = await sidecar.client()
             for left_ms in (0, 1, 40, 41):
                 begun = asyncio.get_running_loop().time()
-                told = await client.ask("pay", deadline_ms=left_ms)
+                told = await client.request("pay", deadline_ms=left_ms)
                 assert told.status in (503, 504)
                 assert asyncio.get_running_loop().time() - begun < 0.5
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -12,12 +12,12 @@
 from eiderhub.membership.endpoint_list import read_endpoint_list
 from eiderhub.protocols.http1.client import Connection
 from eiderhub.protocols.http1.server import CallerConnection
-from eiderhub.sidecar.clock import Alarm
+from eiderhub.sidecar.clock import Timer
 from eiderhub.sidecar.host import Request
 from eiderhub.sidecar.upstream import Attempt, Pool
-from tests.sidecar_support import Fake, Sidecar, row, run
+from tests.sidecar_support import FakeServer, Sidecar, row, run
 
-COUNTED = (Alarm, Attempt, CallerConnection, Connection, Pool, Request)
+COUNTED = (Timer, Attempt, CallerConnection, Connection, Pool, Request)
 
 
 def counts() -> Counter[str]:
@@ -64,7 +64,7 @@
                 gc.enable()
 
     async def settled(sidecar: Sidecar) -> None:
-        while sidecar.callers or sidecar.host.requests or sidecar.host.upstream.open:
+        while sidecar.callers or sidecar.host.requests or sidecar.host.upstream.open_connections:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.05)  # what was aborted is let go of in the loop's next turns
 
@@ -93,7 +93,7 @@
 
     async def test() -> None:
         async with Sidecar(endpoints=1) as sidecar:
-            fake: Fake = sidecar.endpoints[0]
+            fake: FakeServer = sidecar.endpoints[0]
             old_client, new_client = await sidecar.client(), await sidecar.client()
             old_client.send()
             old = await fake.next()
@@ -112,6 +112,6 @@
             new.reply()
             assert (await new_client.answer()).status == 200
             assert balancer.endpoints["s-1"].in_flight == 0
-            assert sidecar.host.upstream.open == 1
+            assert sidecar.host.upstream.open_connections == 1
 
     run(test())
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -12,7 +12,7 @@
 import pytest
 
 from eiderhub.cli import main as cli
-from tests.sidecar_support import Program, program, run, started
+from tests.sidecar_support import Program, program, run, start_process
 
 TABLES = """
 [[routes]]
@@ -128,7 +128,7 @@
         path.write_text(text)
     document = {"settings": json.loads((Path(__file__).parent / "corpus" / "base.json").read_text())["settings"]}
     document["settings"]["Categories"][2]["Name"] = "pay"
-    process = started(tmp_path, document, "--operator", str(path))
+    process = start_process(tmp_path, document, "--operator", str(path))
     _, errors = process.communicate(timeout=20)
     assert process.returncode == 1
     assert errors.startswith("eiderhub.sidecar: ")
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 from standins.program import running
-from tests.sidecar_support import SETUP, Client, Fake, listing, row, run
+from tests.sidecar_support import SETUP, Client, FakeServer, listing, row, run
 
 ROOT = Path(__file__).parent.parent
 
@@ -50,12 +50,12 @@
     """A start, requests, a reload (which works in a thread) and a drain."""
 
     async def test() -> None:
-        fake = await Fake().start()
+        fake = await FakeServer().start()
         document = {
             "name": "n0", "discovery": "127.0.0.1:1", "seed": "8c1f", "settings": SETUP,
             "known": json.loads(listing(1, True, row("s-0", fake.address))),
         }  # fmt: skip
-        command = [sys.executable, "-m", "tests.refusing"]
+        command = [sys.executable, "-m", "tests.restricted_sidecar"]
         async with running(tmp_path, document, command=command) as (process, host, port):
             client = Client(*await asyncio.open_connection(host, port))
             client.send()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.sidecar_support import Fake, Sidecar, all_go_to, listing, program, row, run
+from tests.sidecar_support import FakeServer, Sidecar, assert_all_go_to, listing, program, row, run
 
 
 def test_watch_moves_and_takes_the_whole_list_of_the_new_address() -> None:
@@ -19,9 +19,9 @@
             stays, goes = sidecar.endpoints
             (await sidecar.discovery.next()).reply(200, listing(90, False))
             await sidecar.discovery.next()
-            other = await Fake().start()
+            other = await FakeServer().start()
             host, _, port = other.address.rpartition(":")
-            sidecar.watcher.move(host, int(port))
+            sidecar.watcher.change_address(host, int(port))
             await sidecar.discovery.ends.get()  # the old watch is closed
             asked = await other.next()
             assert asked.message.first == "GET /discovery/hosts HTTP/1.1"
@@ -29,8 +29,8 @@
             asked.reply(200, listing(4, True, row("s-0", stays.address)))
             assert (await other.next()).message.first.startswith("GET /discovery/hosts?after=4&")
             client = await sidecar.client()
-            await all_go_to(stays, client)
-            assert goes.asked.empty()
+            await assert_all_go_to(stays, client)
+            assert goes.received.empty()
 
     run(test())
 
@@ -40,10 +40,10 @@
 
     async def test() -> None:
         async with Sidecar() as sidecar:
-            other = await Fake().start()
+            other = await FakeServer().start()
             host, _, port = other.address.rpartition(":")
             sidecar.host.balancer.poll_backoff_us = 60_000_000  # as after a long outage of the old address
-            sidecar.watcher.move(host, int(port))
+            sidecar.watcher.change_address(host, int(port))
             (await other.next()).reply(503, b"")
             (await other.next()).reply(200, listing(4, True))
             await other.next()
@@ -57,12 +57,12 @@
             await sidecar.discovery.next()
             watcher = sidecar.watcher
             for _ in range(3):  # in a row, before any has been answered
-                watcher.move(watcher.host, watcher.port)
+                watcher.change_address(watcher.host, watcher.port)
             asked = await sidecar.discovery.next()
             assert asked.message.first == "GET /discovery/hosts HTTP/1.1"
             asked.reply(200, listing(2, True, row("s-0", sidecar.endpoints[0].address)))
             assert (await sidecar.discovery.next()).message.first.startswith("GET /discovery/hosts?after=2&")
-            assert sidecar.discovery.asked.empty()
+            assert sidecar.discovery.received.empty()
 
     run(test())
 
@@ -72,7 +72,7 @@
     """Seen: SIGHUP had no handler and ended the process. The file's address wins over the variable's."""
 
     async def test() -> None:
-        first, second = [await Fake().start() for _ in range(2)]
+        first, second = [await FakeServer().start() for _ in range(2)]
         told = {"discovery": first.address}
         async with program(tmp_path, told, GW_DISCOVERY=first.address) as running:
             file = tmp_path / "config.json"
@@ -98,7 +98,7 @@
     """No discovery is asked for; the first list of one that is named later counts as whole."""
 
     async def test() -> None:
-        discovery, other = [await Fake().start() for _ in range(2)]
+        discovery, other = [await FakeServer().start() for _ in range(2)]
         async with program(tmp_path, {"discovery": None}) as running:
             client = await running.client()
             client.send()
--- a/tests/test_ending.py
+++ b/tests/test_shutdown.py
@@ -14,8 +14,19 @@
 
 from eiderhub.sidecar.__main__ import close_listener
 from standins.http import read_message
-from tests.sidecar_support import SETUP, Client, Fake, Sidecar, all_go_to, listing, program, ready, row, run
-from tests.test_sidecar import Answers, direct
+from tests.sidecar_support import (
+    SETUP,
+    Client,
+    FakeServer,
+    Sidecar,
+    assert_all_go_to,
+    listing,
+    program,
+    readiness_status,
+    row,
+    run,
+)
+from tests.test_sidecar import RecordingCaller, direct_request
 
 QUICK: list[dict[str, Any]] = [{**c, "AimUs": 200_000, "DeadlineUs": 400_000} for c in SETUP["Categories"]]
 
@@ -60,26 +71,26 @@
     known: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The loop has not come to its request yet when the place is asked for: reading is held until then."""
-    monkeypatch.setattr("eiderhub.sidecar.callers.SPARE_S", 0.0)
+    monkeypatch.setattr("eiderhub.sidecar.callers.EVICTABLE_IDLE_S", 0.0)
 
     async def test() -> None:
         async with Sidecar(callers=4) as sidecar:
             here = [await sidecar.client() for _ in range(4)]
             if known:
                 for client in here:
-                    assert await ready(client) == 200
+                    assert await readiness_status(client) == 200
             while len(sidecar.callers) < 4:
                 await asyncio.sleep(0)
-            first = next(iter(sidecar.callers.idle if known else sidecar.callers.fresh))
-            first.read(False)
+            first = next(iter(sidecar.callers.idle if known else sidecar.callers.unestablished))
+            first.set_reading(False)
             name = first.transport.get_extra_info("peername")
             asks = next(client for client in here if client.writer.get_extra_info("sockname") == name)
             asks.writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-            while not first.unread():
+            while not first.has_unread_input():
                 await asyncio.sleep(0)
             new = await sidecar.client()
-            assert await ready(new) == 200
-            first.read(True)
+            assert await readiness_status(new) == 200
+            first.set_reading(True)
             assert (await asks.answer()).status == 200
             ends = [asyncio.create_task(client.reader.read()) for client in here if client is not asks]
             done, waits = await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
@@ -91,7 +102,7 @@
 def test_one_caller_that_cannot_be_looked_at_does_not_leave_the_others_unwatched(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("eiderhub.sidecar.callers.FIRST_S", 0.05)
+    monkeypatch.setattr("eiderhub.sidecar.callers.FIRST_REQUEST_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -102,7 +113,7 @@
             def fail(now: int) -> None:
                 raise ValueError("no descriptor")
 
-            monkeypatch.setattr(next(iter(sidecar.callers.all)), "check", fail)
+            monkeypatch.setattr(next(iter(sidecar.callers.connections)), "check_timeouts", fail)
             assert await silent.reader.read() == b""
             broken.writer.close()
 
@@ -115,16 +126,16 @@
 def test_at_the_end_what_was_never_sent_on_is_refused_and_of_the_rest_nothing_is_promised() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
-            sent, waits, late = await sidecar.client(), Answers(), Answers()
+            sent, waits, late = await sidecar.client(), RecordingCaller(), RecordingCaller()
             sent.send()
             await sidecar.endpoints[0].next()
-            sidecar.host.take(direct(waits))  # its connection is still to come up
+            sidecar.host.accept(direct_request(waits))  # its connection is still to come up
             sidecar.host.close()
             assert (await sent.answer()).status == 504
             assert await waits.all.get() == 503
-            sidecar.host.take(direct(late))
+            sidecar.host.accept(direct_request(late))
             assert await late.all.get() == 503
-            assert sidecar.endpoints[0].asked.empty()
+            assert sidecar.endpoints[0].received.empty()
             assert not sidecar.host.balancer.calls
 
     run(test())
@@ -137,13 +148,13 @@
             client.send(body=b"0")
             await sidecar.endpoints[0].next()
             client.send(body=b"1")
-            (caller,) = sidecar.callers.all
+            (caller,) = sidecar.callers.connections
             while not caller.waiting:  # type: ignore[attr-defined]
                 await asyncio.sleep(0)
             client.send(body=b"2")
             while not caller._behind:  # type: ignore[attr-defined]
                 await asyncio.sleep(0)
-            sidecar.callers.leaving = True
+            sidecar.callers.closing = True
             sidecar.host.close()
             assert [(await client.answer()).status for _ in range(3)] == [504, 503, 503]
             assert await client.reader.read() == b""
@@ -165,7 +176,7 @@
             assert [(await client.answer()).status for _ in range(4)] == [504, 503, 503, 503]
             assert await client.reader.read() == b""
             assert await asyncio.to_thread(running.process.wait) == 0
-            assert running.endpoint.asked.empty()
+            assert running.endpoint.received.empty()
 
     run(test())
 
@@ -204,18 +215,18 @@
     async def test() -> None:
         async with program(tmp_path, changes) as running:
             kept = await running.client()
-            assert await ready(kept) == 200
+            assert await readiness_status(kept) == 200
             kept.send(deadline_ms=30_000)
             out = await running.endpoint.next()
             bad = [await running.client() for _ in range(2 * sockets)]
             for client in bad:
                 client.writer.write(b"POST /pay/a HTTP/1.1\r\nHost: a\r\nReq-")
             new = await running.client()
-            assert await ready(new) == 200
+            assert await readiness_status(new) == 200
             assert sockets / 2 < len(os.listdir(f"/proc/{running.process.pid}/fd")) <= sockets
             running.process.send_signal(signal.SIGTERM)
             late = await running.client()
-            while await ready(late) != 503:  # it has heard
+            while await readiness_status(late) != 503:  # it has heard
                 pass
             late.send("look", deadline_ms=30_000)
             (await running.endpoint.next()).reply()
@@ -235,12 +246,12 @@
             client = await sidecar.client()
             client.send(body=b"0")
             asked = await sidecar.endpoints[0].next()
-            sidecar.callers.leaving = True
+            sidecar.callers.closing = True
             client.send(body=b"1")  # in the same turn as the answer
             asked.reply()
             told = await client.answer()
             if "connection" in told.headers:  # the answer went first: the caller asks again elsewhere
-                assert sidecar.endpoints[0].asked.empty() and not sidecar.host.requests
+                assert sidecar.endpoints[0].received.empty() and not sidecar.host.requests
             else:  # the request went first: it is taken, and served
                 (await sidecar.endpoints[0].next()).reply()
                 told = await client.answer()
@@ -256,13 +267,13 @@
             client = await sidecar.client()
             client.send()
             asked = await sidecar.endpoints[0].next()
-            assert sidecar.callers.owed()
+            assert sidecar.callers.has_unfinished_work()
             asked.reply()
             assert (await client.answer()).status == 200
-            assert not sidecar.callers.owed()
+            assert not sidecar.callers.has_unfinished_work()
             client.send()
             await sidecar.endpoints[0].next()
-            assert sidecar.callers.owed()
+            assert sidecar.callers.has_unfinished_work()
 
     run(test())
 
@@ -273,7 +284,7 @@
             client = await sidecar.client()
             while not sidecar.callers:
                 await asyncio.sleep(0)
-            sidecar.callers.leaving = True
+            sidecar.callers.closing = True
             sidecar.callers.close_idle()
             client.send()
             (await sidecar.endpoints[0].next()).reply()
@@ -290,7 +301,7 @@
             client = await running.client()
             running.process.send_signal(signal.SIGHUP)
             running.process.send_signal(signal.SIGTERM)
-            assert await ready(client) == 503
+            assert await readiness_status(client) == 503
             client.send("look", deadline_ms=300)
             assert (await client.answer()).status == 503
             assert await asyncio.to_thread(running.process.wait) == 0
@@ -308,13 +319,13 @@
         async with Sidecar(endpoints=2, Discovery="push") as sidecar:
             stays, goes = sidecar.endpoints
             client = await sidecar.client()
-            assert await ready(client) == 503
+            assert await readiness_status(client) == 503
             asked = await sidecar.discovery.next()
             asked.reply(200, listing(2, False, row("s-1", goes.address, "draining")))
-            while await ready(client) != 200:
+            while await readiness_status(client) != 200:
                 pass
-            await all_go_to(stays, client)
-            assert goes.asked.empty()
+            await assert_all_go_to(stays, client)
+            assert goes.received.empty()
 
     run(test())
 
@@ -325,7 +336,7 @@
     async def test() -> None:
         async with Sidecar(Discovery="push") as sidecar:
             client: Client = await sidecar.client()
-            while await ready(client) != 200:
+            while await readiness_status(client) != 200:
                 pass
 
     run(test())
@@ -343,7 +354,7 @@
     classes = [{**SETUP["Categories"][0], "Name": name, "Effect": effect} for name in ("despacho", "reserva")]
 
     async def test() -> None:
-        other = await Fake().start()
+        other = await FakeServer().start()
         async with program(tmp_path, {"settings": {**SETUP, "Categories": classes}}) as running:
             path = tmp_path / "config.json"
             document = json.loads(path.read_text(encoding="utf-8"))
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -19,39 +19,39 @@
 from eiderhub.protocols.http1.server import FAILURES
 from eiderhub.sidecar import __main__ as entry
 from eiderhub.sidecar import host as hosting
-from eiderhub.sidecar.clock import Alarm, now_us
+from eiderhub.sidecar.clock import Timer, now_us
 from eiderhub.sidecar.host import Request
-from eiderhub.sidecar.seam import Failure
+from eiderhub.sidecar.protocol_interface import FailureReason
 from tests.sidecar_support import (
     SETUP,
-    Fake,
+    FakeServer,
     Sidecar,
     listing,
     program,
-    ready,
+    readiness_status,
     row,
     run,
-    started,
+    start_process,
 )
 
 
-class Answers:
+class RecordingCaller:
     """A caller inside this process."""
 
     def __init__(self) -> None:
         self.all: asyncio.Queue[int] = asyncio.Queue()
 
-    def served(self, reply: Response) -> None:
+    def send_reply(self, reply: Response) -> None:
         self.all.put_nowait(200)
 
-    def refused(self, wait_us: int) -> None:
+    def send_refusal(self, wait_us: int) -> None:
         self.all.put_nowait(503)
 
-    def failed(self, why: Failure) -> None:
+    def send_failure(self, why: FailureReason) -> None:
         self.all.put_nowait(FAILURES[why])
 
 
-def direct(caller: Answers, grade: str = "pay") -> Request:
+def direct_request(caller: RecordingCaller, grade: str = "pay") -> Request:
     """A request as the server hands it over; its head only has to end where the deadline's value follows."""
     head = b"POST /pay HTTP/1.1\r\nHost: e\r\nReq-Id: d1\r\nContent-Length: 0\r\n"
     return Request(caller, grade, "acme", None, now_us() + 2_000_000, Exchange(head, b""))
@@ -117,7 +117,7 @@
             client.send(body=b"0")
             client.send(body=b"1")
             asked = await sidecar.endpoints[0].next()
-            sidecar.callers.leaving = True
+            sidecar.callers.closing = True
             asked.reply(200, asked.message.body)
             asked = await sidecar.endpoints[0].next()
             asked.reply(200, asked.message.body)
@@ -177,7 +177,7 @@
             monkeypatch.setattr(hosting, "ANSWER_MARGIN_US", 1_800_000)
             monkeypatch.setattr(sidecar.host.balancer, "order", lambda *_: None)
             begun = time.monotonic()
-            assert (await (await sidecar.client()).ask(deadline_ms=2000)).status == 504
+            assert (await (await sidecar.client()).request(deadline_ms=2000)).status == 504
             assert time.monotonic() - begun < 1.5
 
     run(test())
@@ -189,7 +189,7 @@
 def test_known_list_serves_and_the_watch_goes_on_from_it() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
-            assert await ready(await sidecar.client()) == 200
+            assert await readiness_status(await sidecar.client()) == 200
             asked = await sidecar.discovery.next()
             assert asked.message.first.startswith("GET /discovery/hosts?after=1&wait_ms=")
             asked.reply(200, listing(4, False))
@@ -203,12 +203,12 @@
 def test_not_ready_before_any_endpoint_is_known() -> None:
     async def test() -> None:
         async with Sidecar(endpoints=0) as sidecar:
-            fake = await Fake().start()
+            fake = await FakeServer().start()
             client = await sidecar.client()
-            assert await ready(client) == 503
+            assert await readiness_status(client) == 503
             (await sidecar.discovery.next()).reply(200, listing(2, True, row("s-9", fake.address)))
             await sidecar.discovery.next()
-            assert await ready(client) == 200
+            assert await readiness_status(client) == 200
 
     run(test())
 
@@ -284,12 +284,12 @@
 def test_drain_told_while_a_connection_comes_up_keeps_the_request_from_it() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
-            caller = Answers()
-            sidecar.host.take(direct(caller))
+            caller = RecordingCaller()
+            sidecar.host.accept(direct_request(caller))
             listed = read_endpoint_list(json.loads(listing(2, False, row("s-0", "127.0.0.1:1", "draining"))))
             sidecar.host.on_list(ListForm.DELTA, listed.entries)
             assert await caller.all.get() == 503
-            assert sidecar.endpoints[0].asked.empty()
+            assert sidecar.endpoints[0].received.empty()
 
     run(test())
 
@@ -310,7 +310,7 @@
         late: asyncio.Queue[int] = asyncio.Queue()
         for i in range(200):
             due = now_us() + 137 * i
-            Alarm(due, lambda due=due: late.put_nowait(now_us() - due))  # type: ignore[misc]
+            Timer(due, lambda due=due: late.put_nowait(now_us() - due))  # type: ignore[misc]
         assert min([await late.get() for _ in range(200)]) >= 0
 
     run(test())
@@ -353,7 +353,7 @@
     ],
 )
 def test_bad_configuration_ends_with_one_plain_line(tmp_path: Path, changes: dict[str, Any], reason: str) -> None:
-    process = started(tmp_path, changes)
+    process = start_process(tmp_path, changes)
     _, said = process.communicate(timeout=20)
     assert process.returncode == 1
     assert len(said.splitlines()) == 1
@@ -374,11 +374,11 @@
     async def test() -> None:
         async with program(tmp_path, {}) as running:
             kept, busy = await running.client(), await running.client()
-            assert await ready(kept) == 200
+            assert await readiness_status(kept) == 200
             busy.send(deadline_ms=30_000)
             asked = await running.endpoint.next()
             running.process.send_signal(signal.SIGTERM)
-            while await ready(kept) == 200:
+            while await readiness_status(kept) == 200:
                 pass
             late = await running.client()
             for client in (kept, late):
--- a/tests/test_smuggling.py
+++ b/tests/test_smuggling.py
@@ -60,7 +60,7 @@
             client.writer.write(raw.encode())
             assert (await client.answer()).status == 400
             assert await client.reader.read() == b""
-            assert sidecar.host.serial == 0
+            assert sidecar.host.accepted_count == 0
             assert sidecar.endpoints[0].connections == 0
 
     run(test())
@@ -118,7 +118,7 @@
             asked = await sidecar.next()
             asked.reset()  # it may have run: nothing is promised, and nothing sent again
             assert (await last.answer()).status == 502
-            assert all(fake.asked.empty() for fake in sidecar.endpoints)
+            assert all(fake.received.empty() for fake in sidecar.endpoints)
 
     run(test())
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -12,12 +12,12 @@
 from eiderhub.protocols.http1.client import HTTP1, Response
 from eiderhub.sidecar import host as hosting
 from eiderhub.sidecar import upstream
-from eiderhub.sidecar.bounds import Budget
+from eiderhub.sidecar.resource_limits import ByteBudget
 from eiderhub.sidecar.upstream import Attempt, Upstream
 from tests.sidecar_support import (
     SETUP,
     Sidecar,
-    first_asked,
+    next_request,
     one_attempt,
     run,
 )
@@ -32,7 +32,7 @@
             asked, client = await one_attempt(sidecar)
             asked.reply(status, b"")
             assert (await client.answer()).status == 502
-            assert all(fake.asked.empty() for fake in sidecar.endpoints)
+            assert all(fake.received.empty() for fake in sidecar.endpoints)
 
     run(test())
 
@@ -43,7 +43,7 @@
         async with Sidecar(endpoints=2) as sidecar:
             asked, client = await one_attempt(sidecar)
             asked.reply(status, b"", "Srv-Declined: 1")
-            (await first_asked(sidecar)).reply()
+            (await next_request(sidecar)).reply()
             assert (await client.answer()).status == 200
 
     run(test())
@@ -74,7 +74,7 @@
                 asked.writer.write(b"\r\nhalf")
             asked.writer.close()
             assert (await client.answer()).status == 502
-            assert all(fake.asked.empty() for fake in sidecar.endpoints)
+            assert all(fake.received.empty() for fake in sidecar.endpoints)
 
     run(test())
 
@@ -108,8 +108,8 @@
             listener = socket.create_server(("127.0.0.1", 0))
             listener.setblocking(False)
             ended: asyncio.Queue[Outcome] = asyncio.Queue()
-            upstream = Upstream(0, 1_000_000, 4, Budget(1 << 20))
-            upstream.place("e", "127.0.0.1", listener.getsockname()[1], 0)
+            upstream = Upstream(0, 1_000_000, 4, ByteBudget(1 << 20))
+            upstream.set_endpoint("e", "127.0.0.1", listener.getsockname()[1], 0)
 
             def on_end(
                 _: Attempt, outcome: Outcome, __: Response | None, ended: asyncio.Queue[Outcome] = ended
@@ -122,7 +122,7 @@
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
             peer.close()
             assert await ended.get() is expected
-            assert upstream.open == 0
+            assert upstream.open_connections == 0
             listener.close()
 
     run(test())
@@ -135,8 +135,8 @@
         for filler in fillers:  # take what the backlog holds: the next handshake gets no answer
             filler.setblocking(False)
             filler.connect_ex(full.getsockname())
-        upstream = Upstream(0, 100_000, 4, Budget(1 << 20))
-        upstream.place("e", "127.0.0.1", full.getsockname()[1], 0)
+        upstream = Upstream(0, 100_000, 4, ByteBudget(1 << 20))
+        upstream.set_endpoint("e", "127.0.0.1", full.getsockname()[1], 0)
         ended: asyncio.Queue[Outcome] = asyncio.Queue()
         upstream.send(Attempt(0, "e", HTTP1, lambda _: b"x", lambda _, outcome, __: ended.put_nowait(outcome)))
         assert await ended.get() is Outcome.CONNECT_FAILED
@@ -153,8 +153,8 @@
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
         loop = asyncio.get_running_loop()
-        upstream = Upstream(0, 1_000_000, 4, Budget(1 << 20))
-        upstream.place("e", "127.0.0.1", listener.getsockname()[1], 0)
+        upstream = Upstream(0, 1_000_000, 4, ByteBudget(1 << 20))
+        upstream.set_endpoint("e", "127.0.0.1", listener.getsockname()[1], 0)
         ended: asyncio.Queue[Outcome] = asyncio.Queue()
 
         def send() -> None:
@@ -186,7 +186,7 @@
             (await sidecar.endpoints[0].next()).reply()
             await client.answer()
             assert await sidecar.endpoints[0].ends.get() == 0
-            assert sidecar.host.upstream.open == 0
+            assert sidecar.host.upstream.open_connections == 0
 
     run(test())
 
@@ -198,11 +198,11 @@
             seen: set[int] = set()
             while len(seen) < 2:
                 client.send()
-                asked = await first_asked(sidecar)
+                asked = await next_request(sidecar)
                 asked.reply()
                 await client.answer()
                 seen.add(next(i for i, f in enumerate(sidecar.endpoints) if asked.writer in f.writers))
-                assert sidecar.host.upstream.open == 1
+                assert sidecar.host.upstream.open_connections == 1
 
     run(test())
 
@@ -248,8 +248,8 @@
             answer = await client.answer()
             assert (answer.status, answer.body) == (502, b"")
             assert await asyncio.wait_for(ended(sidecar), 2) == 0
-            assert all(fake.asked.empty() for fake in sidecar.endpoints)
-            assert (sidecar.host.upstream.open, sidecar.host.budget.held) == (0, 0)
+            assert all(fake.received.empty() for fake in sidecar.endpoints)
+            assert (sidecar.host.upstream.open_connections, sidecar.host.budget.used) == (0, 0)
 
     run(test())
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -10,12 +10,12 @@
 
 from eiderhub.membership import poll_schedule
 from eiderhub.membership.watch_suspicion import WatchSuspicion
-from tests.sidecar_support import Asked, Fake, Sidecar, all_go_to, listing, row, run
+from tests.sidecar_support import FakeServer, ReceivedRequest, Sidecar, assert_all_go_to, listing, row, run
 
 LIST = listing(2, False)
 
 
-async def go_quiet(asked: Asked, how: str) -> None:
+async def go_quiet(asked: ReceivedRequest, how: str) -> None:
     """Fall silent under a question, at one of the places where an answer may stop."""
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LIST) + LIST
     head = answer.index(b"\r\n\r\n") + 4
@@ -42,8 +42,8 @@
             again.reply(200, listing(2, False, row("s-1", goes.address, "draining")))
             await sidecar.discovery.next()
             client = await sidecar.client()
-            await all_go_to(stays, client)
-            assert goes.asked.empty()
+            await assert_all_go_to(stays, client)
+            assert goes.received.empty()
 
     run(test())
 
@@ -89,7 +89,7 @@
                 monkeypatch.undo()
                 raise RuntimeError("broken")
 
-            monkeypatch.setattr(sidecar.host.upstream, "retire", fail)
+            monkeypatch.setattr(sidecar.host.upstream, "remove_endpoint", fail)
             asked.reply(200, listing(2, True))
             assert "after=1&" in (await sidecar.discovery.next()).message.first
 
@@ -101,9 +101,9 @@
 
     async def test() -> None:
         async with Sidecar() as sidecar:
-            other = await Fake().start()
+            other = await FakeServer().start()
             host, _, port = other.address.rpartition(":")
-            sidecar.watcher.move(host, int(port))
+            sidecar.watcher.change_address(host, int(port))
             await other.next()
             again = await other.next()
             assert (again.connection, again.message.first) == (1, "GET /discovery/hosts HTTP/1.1")
@@ -125,7 +125,7 @@
 
 
 async def find_them_refusing(sidecar: Sidecar) -> None:
-    assert (await (await sidecar.client()).ask("look")).status == 503
+    assert (await (await sidecar.client()).request("look")).status == 503
 
 
 def test_a_watch_whose_endpoints_refuse_is_asked_beside_and_replaced() -> None:
@@ -133,7 +133,7 @@
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            fresh = await Fake().start()
+            fresh = await FakeServer().start()
             watch = await sidecar.discovery.next()  # it never says anything again
             await both_refuse(sidecar)
             doubt = await sidecar.discovery.next()
@@ -146,7 +146,7 @@
             assert "wait_ms=0 " not in again.message.first
             ended = {await sidecar.discovery.ends.get() for _ in range(2)}
             assert ended == {watch.connection, doubt.connection}  # what still comes on them is nobody's answer
-            await all_go_to(fresh, await sidecar.client())
+            await assert_all_go_to(fresh, await sidecar.client())
 
     run(test())
 
@@ -155,7 +155,7 @@
 def test_a_watch_that_has_missed_nothing_stays_as_it_is(answer: tuple[int, bytes]) -> None:
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            fresh = await Fake().start()
+            fresh = await FakeServer().start()
             watch = await sidecar.discovery.next()
             await both_refuse(sidecar)
             doubt = await sidecar.discovery.next()
@@ -193,7 +193,7 @@
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            fresh = await Fake().start()
+            fresh = await FakeServer().start()
             (await sidecar.discovery.next()).reply(200, listing(7, False))
             watch = await sidecar.discovery.next()
             await both_refuse(sidecar)
@@ -224,7 +224,7 @@
                 monkeypatch.undo()
                 raise RuntimeError("broken")
 
-            monkeypatch.setattr(sidecar.host.upstream, "retire", fail)
+            monkeypatch.setattr(sidecar.host.upstream, "remove_endpoint", fail)
             doubt.reply(200, listing(2, True))
             assert "after=1&" in (await sidecar.discovery.next()).message.first
             gc.collect()
--- a/tests/thrift/peers.py
+++ b/tests/thrift/peers.py
@@ -8,7 +8,7 @@
 from eiderhub.protocols.thrift import messages
 from eiderhub.protocols.thrift.frames import framed
 from eiderhub.protocols.thrift.wire import Encoding, Header, T
-from tests.sidecar_support import Asked, Fake
+from tests.sidecar_support import FakeServer, ReceivedRequest
 from tests.thrift.values import Value, apache
 
 SHED = 77  # the type by which these endpoints turn a call away
@@ -23,7 +23,7 @@
     return T.STRUCT, [(1, (T.STRING, value))]
 
 
-class AskedThrift(Asked):
+class AskedThrift(ReceivedRequest):
     """A call as an endpoint got it; the test says what comes back."""
 
     def __init__(self, frame: bytes, writer: asyncio.StreamWriter, connection: int) -> None:
@@ -45,7 +45,7 @@
         self.send(messages.exception(self.header.encoding, self.header.name, self.header.seqid, kind, text))
 
 
-class ThriftFake(Fake):
+class ThriftFake(FakeServer):
     """A Thrift server whose every call waits for the test's word."""
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -54,7 +54,7 @@
         self.writers.append(writer)
         try:
             while True:
-                self.asked.put_nowait(AskedThrift(await read_frame(reader), writer, number))
+                self.received.put_nowait(AskedThrift(await read_frame(reader), writer, number))
         except (asyncio.IncompleteReadError, ConnectionError):
             self.ends.put_nowait(number)
         finally:
--- a/tests/thrift/test_hard.py
+++ b/tests/thrift/test_hard.py
@@ -37,7 +37,7 @@
     """The next call that any endpoint gets, and which one."""
     while True:
         for at, fake in enumerate(world.endpoints):
-            if not fake.asked.empty():
+            if not fake.received.empty():
                 return at, await asked(world, at)
         await asyncio.sleep(0.002)
 
@@ -78,7 +78,7 @@
             client.send("pay")
             (await asked(world)).reply()
             assert (await client.answer()).kind is None
-            assert world.endpoints[0].asked.empty()
+            assert world.endpoints[0].received.empty()
 
     run(test())
 
@@ -104,8 +104,8 @@
 
 def test_a_frame_that_trickles_is_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr(callers, "FIRST_S", 0.1)
-        monkeypatch.setattr(callers, "CHECK_S", 0.02)
+        monkeypatch.setattr(callers, "FIRST_REQUEST_TIMEOUT_S", 0.1)
+        monkeypatch.setattr(callers, "CHECK_INTERVAL_S", 0.02)
         async with sidecar() as world:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.thrift_port)
             trickle = asyncio.create_task(drip(writer))
@@ -131,7 +131,7 @@
             calls = {call.header.name: call for call in [await asked(world) for _ in numbers]}
             for name in reversed(names):
                 calls[name.encode()].reply()
-                while any(not r.answered and r.grade == name for r in world.host.requests.values()):
+                while any(not r.answered and r.class_name == name for r in world.host.requests.values()):
                     await asyncio.sleep(0.002)
             found = [(await client.answer()).header.seqid for _ in numbers]
             assert found == (numbers if in_order else numbers[::-1])
@@ -156,7 +156,7 @@
             else:
                 assert (await client.answer()).kind == Failure.PROTOCOL_ERROR  # of the one that was taken
                 assert await client.reader.read() == b""
-                assert world.endpoints[0].asked.empty()
+                assert world.endpoints[0].received.empty()
 
     run(test())
 
@@ -170,10 +170,10 @@
             flood = asyncio.create_task(client.writer.drain())
             calls = [await asked(world) for _ in range(4)]
             await asyncio.sleep(0.05)
-            assert world.endpoints[0].asked.empty()
-            (caller,) = world.callers.all
+            assert world.endpoints[0].received.empty()
+            (caller,) = world.callers.connections
             assert len(caller.out) == 4  # type: ignore[attr-defined]
-            assert 0 < world.host.budget.held < 1 << 19  # one read of the socket, and no more
+            assert 0 < world.host.budget.used < 1 << 19  # one read of the socket, and no more
             calls[0].reply()
             assert (await client.answer()).header.seqid == 1
             await asked(world)
@@ -181,7 +181,7 @@
             flood.cancel()
             while world.callers or world.host.requests:
                 await asyncio.sleep(0.005)
-            assert world.host.budget.held == 0
+            assert world.host.budget.used == 0
 
     run(test())
 
@@ -199,8 +199,8 @@
             leave(client.writer, how)
             await world.endpoints[0].ends.get()  # what was out has been called off
             assert not world.host.requests and not world.host.balancer.calls
-            assert world.host.budget.held == 0
-            assert world.endpoints[0].asked.empty()
+            assert world.host.budget.used == 0
+            assert world.endpoints[0].received.empty()
 
     run(test())
 
@@ -227,7 +227,7 @@
             client.send(**{"name": "hold", **send})
             answer = await client.answer()
             assert (answer.kind, text in (answer.text or "")) == (kind, True)
-            assert world.endpoints[0].asked.empty()
+            assert world.endpoints[0].received.empty()
             assert world.callers
             client.writer.close()
 
@@ -318,7 +318,7 @@
             call.writer.write(b"\0\0\0\x40\x80\x01")
             async with asyncio.timeout(2):
                 assert (await client.answer()).kind == Failure.INTERNAL_ERROR
-            assert world.host.upstream.open == 0
+            assert world.host.upstream.open_connections == 0
 
     run(test())
 
@@ -336,7 +336,7 @@
             assert [a.header.seqid for a in answers] == numbers
             failed = [a.kind for a in answers]
             assert sorted(failed, key=str) == [Failure.INTERNAL_ERROR, None, None, None]
-            assert all(fake.asked.empty() for fake in world.endpoints)
+            assert all(fake.received.empty() for fake in world.endpoints)
 
     run(test())
 
@@ -354,7 +354,7 @@
                 deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 deaf.setblocking(False)
                 host, port = deaf.getsockname()
-                world.host.upstream.place("s-0", host, port, 0)
+                world.host.upstream.set_endpoint("s-0", host, port, 0)
                 caller = await ThriftClient.connect(world.thrift_port, Encoding.BINARY)
                 served = 0
                 while True:  # each draws its endpoint at random
@@ -398,7 +398,7 @@
             call.reply()
             answer = await client.answer()
             assert (answer.header.seqid, answer.kind) == (number, None)
-            assert all(fake.asked.empty() for fake in world.endpoints)
+            assert all(fake.received.empty() for fake in world.endpoints)
             assert not world.host.requests
             client.send("hold", kind=4)  # a keyed one would promise an answer that cannot come
             client.send("pay")
@@ -424,7 +424,7 @@
                 (await first(world))[1].raises(Failure.UNKNOWN_METHOD)
             answer = await client.answer()
             assert answer.kind == Failure.UNKNOWN_METHOD
-            assert all(fake.asked.empty() for fake in world.endpoints)
+            assert all(fake.received.empty() for fake in world.endpoints)
 
     run(test())
 
@@ -439,7 +439,7 @@
             answer = await client.answer()
             assert answer.kind == Failure.INTERNAL_ERROR
             assert answer.text is not None and "may have run" in answer.text
-            assert all(fake.asked.empty() for fake in world.endpoints)
+            assert all(fake.received.empty() for fake in world.endpoints)
 
     run(test())
 
@@ -450,7 +450,7 @@
             host, _, port = world.endpoints[0].address.rpartition(":")
             client = await ThriftClient.connect(world.thrift_port, Encoding.BINARY)
             for label, encoding in (("thrift=compact", Encoding.COMPACT), ("thrift=binary", Encoding.BINARY)):
-                world.host.upstream.place("s-0", host, int(port), 0, frozenset((label,)))
+                world.host.upstream.set_endpoint("s-0", host, int(port), 0, frozenset((label,)))
                 client.send("pay")
                 call = await asked(world)
                 assert call.header.encoding is encoding
--- a/tests/thrift/test_libraries.py
+++ b/tests/thrift/test_libraries.py
@@ -31,7 +31,7 @@
 from eiderhub.routing.compile import plan
 from eiderhub.routing.table import Route
 from eiderhub.settings import parse_settings
-from tests.sidecar_support import SETUP, Fake, Sidecar, run
+from tests.sidecar_support import SETUP, FakeServer, Sidecar, run
 from tests.thrift.peers import ThriftFake
 from tests.thrift.values import write
 
@@ -113,8 +113,8 @@
     fields = {"key": (1, 1), "deadline_ms": (1, 2)}
 
     async def test(handler: Handler, address: str) -> None:
-        class Elsewhere(Fake):
-            async def start(self) -> Fake:
+        class Elsewhere(FakeServer):
+            async def start(self) -> FakeServer:
                 await super().start()
                 self.address = address
                 return self
--- a/tests/thrift/test_program.py
+++ b/tests/thrift/test_program.py
@@ -70,7 +70,7 @@
             assert [(a.kind, a.header.seqid) for a in answers] == [(None, n) for n in numbers]
             assert await busy.reader.read() == b""
             assert await process.wait() == 0
-            assert fake.asked.empty()
+            assert fake.received.empty()
 
     run(test())
 
