--- a/benchmarks/fleet/__init__.py
+++ b/benchmarks/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The view of the fleet, measured: processes under faults, growth in virtual time, and what evidence told is worth."""
+"""Measures the fleet view: processes under faults, growth in virtual time, and the effect of shared evidence."""
--- a/benchmarks/fleet/evidence.py
+++ b/benchmarks/fleet/evidence.py
@@ -1,7 +1,7 @@
-"""Quiet sidecars and one endpoint that fails fast: what they lose to it with and without one another's evidence.
+"""Sidecars with little load and one endpoint that fails fast: calls lost to it with and without shared evidence.
 
-The decision module and the protocol, both as they are, in virtual time. The two plays of a seed differ in nothing but
-whether evidence is told.
+Runs the real decision module and the real protocol in virtual time. The two simulations of a seed differ only in
+whether evidence is shared.
 """
 
 from __future__ import annotations
@@ -11,150 +11,156 @@
 from dataclasses import dataclass, field
 
 from eiderhub.balancer import Balancer
-from eiderhub.fleet.evidence import Listed
-from eiderhub.fleet.protocol import Terms
+from eiderhub.fleet.evidence import EndpointStart
+from eiderhub.fleet.protocol import ProtocolConfig
 from eiderhub.interface import Effect, Endpoint, Limits, ListForm, Outcome, Readiness, RequestClass, Settings
 from standins.fleet.virtual import World
 
-S = 1_000_000
-MS = 1000
+US_PER_S = 1_000_000
+US_PER_MS = 1000
 ENDPOINTS = 20
-RATE = 1.0  # requests a second at each sidecar
-WARM_S, SPELL_S = 20.0, 30.0
+REQUESTS_PER_S = 1.0  # at each sidecar
+WARM_UP_S, MEASURED_S = 20.0, 30.0
 WINDOW_S = 3.0
-UNDER = 0.1  # of its even part
+LOW_SHARE = 0.1  # relative to an even share
 SETTINGS = Settings(
-    classes=(RequestClass("look", S, 3 * S, Effect.IDEMPOTENT),), zone="a", limits=Limits(max_attempts=3)
+    classes=(RequestClass("look", US_PER_S, 3 * US_PER_S, Effect.IDEMPOTENT),), zone="a", limits=Limits(max_attempts=3)
 )
 
 
 @dataclass
 class Sidecar:
-    """One module and the world round it; its calls end as the endpoints stand."""
+    """One decision module and its host, with random arrivals and simulated endpoints."""
 
     number: int
-    play: Play
-    sent: dict[str, int] = field(default_factory=dict)  # attempts of each call
-    serial: int = 0
+    simulation: Simulation
+    attempts: dict[str, int] = field(default_factory=dict)  # by call
+    calls_started: int = 0
 
     def __post_init__(self) -> None:
-        seed = self.play.seed * 1000 + self.number
-        self.chance = random.Random(seed)
+        seed = self.simulation.seed * 1000 + self.number
+        self.rng = random.Random(seed)
         settings = Settings(
-            classes=SETTINGS.classes, zone="a", limits=SETTINGS.limits, rank=self.number, balancers=self.play.count
+            classes=SETTINGS.classes,
+            zone="a",
+            limits=SETTINGS.limits,
+            rank=self.number,
+            balancers=self.simulation.count,
         )
         self.balancer = Balancer(settings, seed, self)
-        self.balancer.start(self.play.world.now)
-        self.balancer.discovery(self.play.world.now, ListForm.CACHED, self.play.endpoints)
+        self.balancer.start(self.simulation.world.now)
+        self.balancer.discovery(self.simulation.world.now, ListForm.CACHED, self.simulation.endpoints)
 
     def arrive(self) -> None:
-        self.serial += 1
-        self.balancer.order(self.play.world.now, f"{self.serial}", "look", None, 3 * S, None)
-        self.play.world.at(self.chance.expovariate(RATE), self.arrive)
+        self.calls_started += 1
+        self.balancer.order(self.simulation.world.now, f"{self.calls_started}", "look", None, 3 * US_PER_S, None)
+        self.simulation.world.at(self.rng.expovariate(REQUESTS_PER_S), self.arrive)
 
     def hand_off(self, call: str, endpoint: str, max_wait_us: int) -> None:
-        number = self.sent.get(call, 0)
-        self.sent[call] = number + 1
-        bad = endpoint in self.play.failing
-        self.play.count_call(endpoint, first=number == 0)
-        spent = 2 * MS if bad else int(self.chance.uniform(20, 80) * MS)
-        outcome = Outcome.ERROR if bad else Outcome.OK
+        number = self.attempts.get(call, 0)
+        self.attempts[call] = number + 1
+        is_failing = endpoint in self.simulation.failing
+        self.simulation.count_call(endpoint, first=number == 0)
+        latency_us = 2 * US_PER_MS if is_failing else int(self.rng.uniform(20, 80) * US_PER_MS)
+        outcome = Outcome.ERROR if is_failing else Outcome.OK
 
         def end() -> None:
-            now = self.play.world.now
-            self.play.world.members[self.number].board.note(now, Listed(endpoint, 0), outcome)
-            self.balancer.reply(now, call, number, endpoint, spent, outcome is Outcome.OK, outcome)
+            now = self.simulation.world.now
+            self.simulation.world.members[self.number].evidence.record(now, EndpointStart(endpoint, 0), outcome)
+            self.balancer.reply(now, call, number, endpoint, latency_us, outcome is Outcome.OK, outcome)
 
-        self.play.world.at(spent / S, end)
+        self.simulation.world.at(latency_us / US_PER_S, end)
 
-    def weigh(self) -> None:
-        if self.play.told:
-            board = self.play.world.members[self.number].board
-            self.balancer.hearsay(self.play.world.now, board.hearsay(self.play.world.now, self.play.pool))
-        self.play.world.at(0.25, self.weigh)
+    def apply_evidence(self) -> None:
+        if self.simulation.shares_evidence:
+            store = self.simulation.world.members[self.number].evidence
+            self.balancer.hearsay(
+                self.simulation.world.now, store.kept_shares(self.simulation.world.now, self.simulation.pool)
+            )
+        self.simulation.world.at(0.25, self.apply_evidence)
 
     def cancel(self, call: str, attempt: int) -> None: ...
     def shed(self, call: str, wait_us: int) -> None:
-        self.play.refused += 1
+        self.simulation.refused += 1
 
     def surrender(self, call: str) -> None:
-        self.play.refused += 1
+        self.simulation.refused += 1
 
     def timer(self, delay_us: int, mark: str) -> None:
-        self.play.world.at(delay_us / S, lambda: self.balancer.wake(self.play.world.now, mark))
+        self.simulation.world.at(delay_us / US_PER_S, lambda: self.balancer.wake(self.simulation.world.now, mark))
 
     def tail(self, on: bool) -> None: ...
     def disconnect(self, endpoint: str) -> None: ...
     def write_log(self, text: str) -> None: ...
 
 
-class Play:
-    """One fleet for a while; then one endpoint begins to fail."""
+class Simulation:
+    """One fleet that warms up until one endpoint begins to fail, or `liars` members begin to report falsely."""
 
-    def __init__(self, seed: int, count: int, told: bool, liars: int = 0) -> None:
-        self.seed, self.count, self.told = seed, count, told
+    def __init__(self, seed: int, count: int, shares_evidence: bool, liars: int = 0) -> None:
+        self.seed, self.count, self.shares_evidence = seed, count, shares_evidence
         self.endpoints = [Endpoint(f"s-{i}", "a", "m", 0, Readiness.READY) for i in range(ENDPOINTS)]
-        self.pool = [Listed(endpoint.id, 0) for endpoint in self.endpoints]
-        self.world = World(count, seed, Terms(knows=told))
+        self.pool = [EndpointStart(endpoint.id, 0) for endpoint in self.endpoints]
+        self.world = World(count, seed, ProtocolConfig(shares_evidence=shares_evidence))
         self.world.start_all(count)
         self.failing: set[str] = set()
-        self.calls: list[tuple[int, str]] = []  # when, to whom: first attempts alone
+        self.calls: list[tuple[int, str]] = []  # time and endpoint of each first attempt
         self.refused = 0
         self.sidecars = [Sidecar(i, self) for i in range(count)]
         for sidecar in self.sidecars:
-            self.world.at(sidecar.chance.expovariate(RATE), sidecar.arrive)
-            self.world.at(sidecar.chance.random() / 4, sidecar.weigh)
+            self.world.at(sidecar.rng.expovariate(REQUESTS_PER_S), sidecar.arrive)
+            self.world.at(sidecar.rng.random() / 4, sidecar.apply_evidence)
         self.liars = liars
 
     def count_call(self, endpoint: str, first: bool) -> None:
         if first:
             self.calls.append((self.world.now, endpoint))
 
-    def lie(self) -> None:
-        """The first members say that all endpoints fail, again and again."""
+    def report_falsely(self) -> None:
+        """Let the first members report every second that all endpoints fail."""
         for number in range(self.liars):
-            board = self.world.members[number].board
+            store = self.world.members[number].evidence
             for endpoint in self.pool:
                 for _ in range(2):
-                    board.note(self.world.now, endpoint, Outcome.ERROR)
-        self.world.at(1.0, self.lie)
+                    store.record(self.world.now, endpoint, Outcome.ERROR)
+        self.world.at(1.0, self.report_falsely)
 
     def run(self, fails: bool = True) -> None:
-        self.world.run(WARM_S)
+        self.world.run(WARM_UP_S)
         if fails:
             self.failing.add("s-3")
         if self.liars:
-            self.lie()
-        self.begun = self.world.now
-        self.world.run(SPELL_S)
+            self.report_falsely()
+        self.failed_at_us = self.world.now
+        self.world.run(MEASURED_S)
 
-    def met(self) -> int:
-        """Calls whose first attempt met the failing endpoint."""
-        return sum(at >= self.begun and endpoint in self.failing for at, endpoint in self.calls)
+    def failing_calls(self) -> int:
+        """Return the calls whose first attempt went to the failing endpoint."""
+        return sum(at >= self.failed_at_us and endpoint in self.failing for at, endpoint in self.calls)
 
-    def under_after_s(self) -> float:
-        """When its share of calls was first under a tenth of an even part for a whole window."""
+    def seconds_to_low_share(self) -> float:
+        """Return when the failing endpoint's share of calls was first below LOW_SHARE for a whole window."""
         at = 0.0
-        while at < SPELL_S - WINDOW_S:
-            begun, end = self.begun + int(at * S), self.begun + int((at + WINDOW_S) * S)
-            window = [endpoint for t, endpoint in self.calls if begun <= t < end]
-            if sum(e in self.failing for e in window) < UNDER * len(window) / ENDPOINTS:
+        while at < MEASURED_S - WINDOW_S:
+            start, end = self.failed_at_us + int(at * US_PER_S), self.failed_at_us + int((at + WINDOW_S) * US_PER_S)
+            window = [endpoint for t, endpoint in self.calls if start <= t < end]
+            if sum(e in self.failing for e in window) < LOW_SHARE * len(window) / ENDPOINTS:
                 return at
             at += 0.25
-        return SPELL_S
+        return MEASURED_S
 
-    def least_part(self) -> float:
-        """Of all endpoints' shares of the calls in the spell, the least against an even one."""
-        late = [endpoint for t, endpoint in self.calls if t >= self.begun]
-        return min(late.count(e.id) for e in self.endpoints) * ENDPOINTS / max(1, len(late))
+    def min_share(self) -> float:
+        """Return the lowest share of calls of any endpoint in the measured time, relative to an even share."""
+        called = [endpoint for t, endpoint in self.calls if t >= self.failed_at_us]
+        return min(called.count(e.id) for e in self.endpoints) * ENDPOINTS / max(1, len(called))
 
 
-def paired(seeds: Sequence[int], count: int) -> list[tuple[Play, Play]]:
-    """With and without evidence told, for each seed."""
-    found = []
+def run_pairs(seeds: Sequence[int], count: int) -> list[tuple[Simulation, Simulation]]:
+    """Run a simulation with and one without shared evidence for each seed."""
+    pairs = []
     for seed in seeds:
-        plays = Play(seed, count, True), Play(seed, count, False)
-        for play in plays:
-            play.run()
-        found.append(plays)
-    return found
+        pair = Simulation(seed, count, True), Simulation(seed, count, False)
+        for simulation in pair:
+            simulation.run()
+        pairs.append(pair)
+    return pairs
--- a/eiderhub/fleet/command.py
+++ b/eiderhub/fleet/command.py
@@ -1,4 +1,4 @@
-"""`eiderhub fleet members|watch|explain FOLDER`: what a running sidecar believes of its fleet, as it wrote it down."""
+"""`eiderhub fleet members|watch|explain FOLDER`: show a running sidecar's view of its fleet from its files."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from pathlib import Path
 from typing import Any
 
-from eiderhub.fleet.event_log import EVENTS, MEMBERS
+from eiderhub.fleet.event_log import EVENTS_FILE, MEMBERS_FILE
 
 STATES = ("alive", "suspect", "left", "gone")
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Exit status 0: told; 1: nothing is known of what was asked for; 2: the files can't be read."""
+    """Run the command. Exit status 0: done; 1: the member is unknown; 2: the files can't be read."""
     options = _parser().parse_args(arguments)
     try:
         result: int = options.run(options)
@@ -31,40 +31,41 @@
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(prog="eiderhub fleet", description=__doc__)
     commands = parser.add_subparsers(required=True)
-    members = commands.add_parser("members", help="who it believes in, since when and by whose word")
-    watch = commands.add_parser("watch", help="what happens, as it is written down")
-    explain = commands.add_parser("explain", help="all that was written down of one member")
+    members = commands.add_parser("members", help="list the members with their states")
+    watch = commands.add_parser("watch", help="print events as they are written")
+    explain = commands.add_parser("explain", help="print the state and the events of one member")
     for command, run in ((members, _members), (watch, _watch), (explain, _explain)):
-        command.add_argument("folder", type=Path, help="the folder that [fleet] names")
+        command.add_argument("folder", type=Path, help="the folder of the operator's table [fleet]")
         command.set_defaults(run=run)
-    members.add_argument("--json", action="store_true", help="the file as it is")
-    watch.add_argument("--seconds", type=float, default=3600.0, help="how long to wait for more (0: what is there)")
-    explain.add_argument("member", help="its name")
+    members.add_argument("--json", action="store_true", help="print members.json")
+    watch.add_argument("--seconds", type=float, default=3600.0, help="how long to wait for events (0: only past ones)")
+    explain.add_argument("member", help="the member's name")
     return parser
 
 
-def _table(folder: Path) -> dict[str, Any]:
-    path = folder / MEMBERS
+def _read_members(folder: Path) -> dict[str, Any]:
+    path = folder / MEMBERS_FILE
     try:
-        found: dict[str, Any] = json.loads(path.read_text(encoding="utf-8"))
+        document: dict[str, Any] = json.loads(path.read_text(encoding="utf-8"))
     except ValueError:
-        raise ValueError(f"{path}: no JSON") from None
-    return found
+        raise ValueError(f"{path}: not valid JSON") from None
+    return document
 
 
 def _members(options: argparse.Namespace) -> int:
-    table = _table(options.folder)
+    document = _read_members(options.folder)
     if options.json:
-        print(json.dumps(table, indent=2))
+        print(json.dumps(document, indent=2))
         return 0
-    majority = "a majority" if table["majority"] else "no majority"
+    majority = "a majority" if document["majority"] else "no majority"
     print(
-        f"{table['name']}: view {table['view']}, {table['here']} here, {table['same']} of {table['roster']} hold it "
-        f"({majority}), {len(table['other'])} hold another, {len(table['unheard'])} not heard; "
-        f"written {time.time() - table['at']:.0f} s ago"
+        f"{document['name']}: view {document['view']}, {document['here']} present, "
+        f"{document['same']} of {document['roster']} hold it "
+        f"({majority}), {len(document['other'])} hold another, {len(document['unheard'])} not heard; "
+        f"written {time.time() - document['at']:.0f} s ago"
     )
-    print(f"{'member':<24} {'state':<8} {'for':>9} {'by word of':<24} {'incarnation':>12}  build")
-    for row in sorted(table["members"], key=lambda row: (STATES.index(row["state"]), row["member"])):
+    print(f"{'member':<24} {'state':<8} {'for':>9} {'reported by':<24} {'incarnation':>12}  build")
+    for row in sorted(document["members"], key=lambda row: (STATES.index(row["state"]), row["member"])):
         print(
             f"{row['member']:<24} {row['state']:<8} {row['since_s']:>7.1f} s {row['word']:<24} "
             f"{row['incarnation']:>12}  {row['build']}"
@@ -72,26 +73,26 @@
     return 0
 
 
-def _lines(folder: Path) -> Iterator[dict[str, Any]]:
-    for path in (folder / (EVENTS + ".1"), folder / EVENTS):
+def _read_events(folder: Path) -> Iterator[dict[str, Any]]:
+    for path in (folder / (EVENTS_FILE + ".1"), folder / EVENTS_FILE):
         if path.exists():
             for line in path.read_text(encoding="utf-8").splitlines():
                 yield json.loads(line)
 
 
-def _worded(row: dict[str, Any]) -> str:
-    rest = " ".join(f"{key}={value}" for key, value in row.items() if key not in ("t", "n", "event"))
-    return f"{time.strftime('%H:%M:%S', time.gmtime(row['t']))}.{int(row['t'] % 1 * 1000):03d} {row['event']} {rest}"
+def _format_event(row: dict[str, Any]) -> str:
+    fields = " ".join(f"{key}={value}" for key, value in row.items() if key not in ("t", "n", "event"))
+    return f"{time.strftime('%H:%M:%S', time.gmtime(row['t']))}.{int(row['t'] % 1 * 1000):03d} {row['event']} {fields}"
 
 
 def _watch(options: argparse.Namespace) -> int:
-    path = options.folder / EVENTS
+    path = options.folder / EVENTS_FILE
     end = time.monotonic() + options.seconds
     with path.open(encoding="utf-8") as file:
         while True:
             line = file.readline()
             if line.endswith("\n"):
-                print(_worded(json.loads(line)), flush=True)
+                print(_format_event(json.loads(line)), flush=True)
             elif time.monotonic() >= end:
                 return 0
             else:
@@ -100,18 +101,18 @@
 
 
 def _explain(options: argparse.Namespace) -> int:
-    table = _table(options.folder)
-    rows = [row for row in table["members"] if row["member"] == options.member]
-    events = [row for row in _lines(options.folder) if row.get("member") == options.member]
+    document = _read_members(options.folder)
+    rows = [row for row in document["members"] if row["member"] == options.member]
+    events = [row for row in _read_events(options.folder) if row.get("member") == options.member]
     if not rows and not events:
-        print(f"{options.member}: {table['name']} has never heard of it", file=sys.stderr)
+        print(f"{options.member}: {document['name']} does not know this member", file=sys.stderr)
         return 1
     for row in rows:
-        heard = "never itself" if row["heard_s"] is None else f"itself {row['heard_s']:.1f} s before this was written"
+        heard = "none" if row["heard_s"] is None else f"received {row['heard_s']:.1f} s before this was written"
         print(
-            f"{row['member']} at {row['address']} is {row['state']} for {row['since_s']:.1f} s by the word of "
-            f"{row['word']}, in its life {row['incarnation']}, build {row['build']}; heard {heard}"
+            f"{row['member']} at {row['address']} has been {row['state']} for {row['since_s']:.1f} s, reported by "
+            f"{row['word']}; incarnation {row['incarnation']}, build {row['build']}; last message from it: {heard}"
         )
     for event in events[-50:]:
-        print(_worded(event))
+        print(_format_event(event))
     return 0
--- a/eiderhub/fleet/event_log.py
+++ b/eiderhub/fleet/event_log.py
@@ -1,7 +1,7 @@
-"""What a member writes down for those on call: events as JSON lines, and the members as one file, replaced whole.
+"""The files that a member writes for operators: events as JSON lines, and the table of members, replaced as a whole.
 
-Written by a thread, never by the loop: a disk that takes seconds a write, or is full, touches no request. Bounded in
-lines that wait, in the size of the file and in how often the members are written.
+A thread writes them, never the event loop, so that a slow or full disk does not delay requests. The number of pending
+lines and the size of the file of events are bounded.
 """
 
 from __future__ import annotations
@@ -15,69 +15,70 @@
 from pathlib import Path
 from typing import Any
 
-WAITING = 512  # lines; past it the oldest are dropped, and counted
-MOST_BYTES = 1 << 20  # of the file of events; then it becomes the one before, of which one is kept
-EVENTS, MEMBERS = "fleet.jsonl", "members.json"
+MAX_PENDING_LINES = 512  # beyond it the oldest are dropped and counted
+MAX_FILE_BYTES = 1 << 20  # beyond it the file of events is rotated; one earlier file is kept
+EVENTS_FILE, MEMBERS_FILE = "fleet.jsonl", "members.json"
 log = logging.getLogger(__name__)
 
 
-class Journal:
-    """Files in one folder."""
+class EventLog:
+    """The two files in one folder."""
 
     def __init__(self, folder: str) -> None:
         self.folder = Path(folder)
-        self.dropped = 0
-        self._lines: deque[str] = deque()
-        self._members: str | None = None
-        self._failed = False
-        self._writing = threading.Lock()  # the last flush may come while one is at work
+        self.dropped = 0  # lines that were never written
+        self._pending_lines: deque[str] = deque()
+        self._pending_members: str | None = None
+        self._is_failing = False
+        self._write_lock = threading.Lock()  # the flush at the end may overlap a periodic one
 
-    def line(self, **fields: Any) -> None:
-        if len(self._lines) >= WAITING:
-            self._lines.popleft()
+    def append(self, **fields: Any) -> None:
+        """Queue one event."""
+        if len(self._pending_lines) >= MAX_PENDING_LINES:
+            self._pending_lines.popleft()
             self.dropped += 1
-        self._lines.append(json.dumps(fields, separators=(",", ":")))
+        self._pending_lines.append(json.dumps(fields, separators=(",", ":")))
 
-    def members(self, document: Mapping[str, Any]) -> None:
-        """Replaces what waited: only the newest counts."""
-        self._members = json.dumps(document, separators=(",", ":"))
+    def set_members(self, document: Mapping[str, Any]) -> None:
+        """Queue the table of members, in place of one that was not yet written."""
+        self._pending_members = json.dumps(document, separators=(",", ":"))
 
     @property
-    def waits(self) -> bool:
-        return bool(self._lines) or self._members is not None
+    def has_pending(self) -> bool:
+        return bool(self._pending_lines) or self._pending_members is not None
 
     def flush(self) -> None:
-        """Write what waits; called off the loop. A failure is logged once, until one succeeds."""
-        with self._writing:
+        """Write what is pending. Called in a thread; of successive failures only the first is logged."""
+        with self._write_lock:
             self._flush()
 
     def _flush(self) -> None:
         lines = []
-        while self._lines:
-            lines.append(self._lines.popleft())
-        members, self._members = self._members, None
+        while self._pending_lines:
+            lines.append(self._pending_lines.popleft())
+        members, self._pending_members = self._pending_members, None
         try:
             self.folder.mkdir(parents=True, exist_ok=True)
             if lines:
-                self._append("\n".join(lines) + "\n")
+                self._append_events("\n".join(lines) + "\n")
             if members is not None:
-                self._replace(members)
-            self._failed = False
+                self._replace_members(members)
+            self._is_failing = False
         except OSError as error:
             self.dropped += len(lines)
-            if not self._failed:
+            if not self._is_failing:
                 log.warning("fleet: %s: %s", self.folder, error.strerror)
-            self._failed = True
+            self._is_failing = True
 
-    def _append(self, text: str) -> None:
-        path = self.folder / EVENTS
+    def _append_events(self, text: str) -> None:
+        path = self.folder / EVENTS_FILE
         with path.open("a", encoding="utf-8") as file:
             file.write(text)
             size = file.tell()
-        if size > MOST_BYTES:
-            os.replace(path, self.folder / (EVENTS + ".1"))
+        if size > MAX_FILE_BYTES:
+            os.replace(path, self.folder / (EVENTS_FILE + ".1"))
 
-    def _replace(self, text: str) -> None:
-        new = self.folder / (MEMBERS + ".new")
-        new.write_text(text, encoding="utf-8")
-        os.replace(new, self.folder / MEMBERS)
+    def _replace_members(self, text: str) -> None:
+        temporary = self.folder / (MEMBERS_FILE + ".new")
+        temporary.write_text(text, encoding="utf-8")
+        os.replace(temporary, self.folder / MEMBERS_FILE)
--- a/eiderhub/fleet/member_table.py
+++ b/eiderhub/fleet/member_table.py
@@ -1,4 +1,4 @@
-"""Who is believed to be there: one table, its digests, and which views can be called agreed. No I/O, no clock."""
+"""The table of fleet members, the digests of its view, and agreement between views. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -6,168 +6,175 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from eiderhub.fleet.messages import Change, State, digest
+from eiderhub.fleet.messages import MemberUpdate, State, digest
 
-PARTS = 16  # of the view, each with a digest of its own: 64 bytes in a datagram
-PART_BYTES = 4
-HERE = (State.ALIVE, State.SUSPECT)  # a suspect may still refute: it counts until it is gone
+VIEW_PARTS = 16  # parts of the view, each with its own digest: 64 bytes in a datagram
+PART_DIGEST_BYTES = 4
+PRESENT_STATES = (State.ALIVE, State.SUSPECT)  # a suspect may still refute: it counts until it is declared failed
 Address = tuple[str, int]
 
 
 @dataclass(slots=True)
 class Member:
-    """One entry of the table."""
-
-    told: Change
-    since_us: int  # when its state was last changed
-    word: str  # who said so
-    part: int = 0  # of the view that it belongs to
-    sum: int = 0  # what it adds to the view while it is here; 0 otherwise
-    doubters: set[bytes] = field(default_factory=set)  # who came to suspect it, while it is suspect
-    gone_at_us: int = 0  # when a suspect is given up
-    view: bytes = b""  # the view that it last told
-    view_us: int = -1  # and when
-    heard_us: int = -1  # when it last spoke itself
+    """One entry of the table; a time of -1 means never."""
+
+    update: MemberUpdate  # the latest accepted update
+    state_since_us: int  # time of the last change of state
+    reporter: str  # name of the member that sent the update
+    view_part: int = 0  # index of its part of the view
+    view_digest: int = 0  # its contribution to the view's digest while it is present, otherwise 0
+    suspectors: set[bytes] = field(default_factory=set)  # ids of the members that suspect it independently
+    suspicion_deadline_us: int = 0  # when a suspect is declared failed
+    view: bytes = b""  # the view that it last reported
+    view_received_us: int = -1  # when it reported that view
+    last_received_us: int = -1  # when the last message from the member itself was received
 
     @property
-    def here(self) -> bool:
-        return self.told.state in HERE
+    def is_present(self) -> bool:
+        """Whether the member counts as part of the fleet; a suspect does."""
+        return self.update.state in PRESENT_STATES
 
 
 @dataclass(frozen=True, slots=True)
 class Agreement:
-    """Which of the roster hold one view with us, as far as they have told lately."""
+    """Which members hold this member's view, by the views that they reported lately."""
 
     view: bytes
-    same: tuple[str, ...]  # our own name among them
-    other: tuple[str, ...]  # those that hold another
-    unheard: tuple[str, ...]  # believed to be there, and silent since then
-    roster: int
+    agreeing: tuple[str, ...]  # members with this view, this member included
+    differing: tuple[str, ...]  # members with another view
+    not_heard: tuple[str, ...]  # members that are present and have reported no view lately
+    expected_members: int
 
     @property
-    def all_reached(self) -> bool:
-        """Whether everyone that we can reach holds this view."""
-        return not self.other
+    def is_unanimous(self) -> bool:
+        """Whether every member that reported a view lately holds this one."""
+        return not self.differing
 
     @property
-    def majority(self) -> bool:
-        """Whether more than half of the roster holds it: no two views can both have that."""
-        return 2 * len(self.same) > self.roster
+    def has_majority(self) -> bool:
+        """Whether more than half of the expected members hold this view; at most one view can have a majority."""
+        return 2 * len(self.agreeing) > self.expected_members
 
 
-class Table:
-    """All members that are known, ourselves among them, with a digest that follows each change.
+class MemberTable:
+    """All known members, this one included, with a digest that is updated with each change.
 
-    The digest is over those that are here: name, incarnation and build. Whether a member is under suspicion differs for
-    moments from place to place, and how long the gone are remembered does for good: neither is part of the view.
+    The digest covers the name, incarnation and build of each present member. Suspicions are left out since they differ
+    between members for short times; departed members are left out since each member removes them at its own time.
     """
 
-    def __init__(self, me: Change, now: int) -> None:
-        self.me = me.name
+    def __init__(self, own: MemberUpdate, now: int) -> None:
+        self.own_name = own.name
         self.members: dict[str, Member] = {}
         self.suspects: dict[str, Member] = {}
-        self.gone: dict[str, Member] = {}
-        self.addresses: Counter[bytes] = Counter()  # of all that are known, gone or not: how many have each
-        self.here = 0
-        self._view = 0
-        self._parts = [0] * PARTS
-        self.put(me, now, me.name)
+        self.failed: dict[str, Member] = {}
+        self.address_counts: Counter[bytes] = Counter()  # known members in any state by address
+        self.present_count = 0
+        self._view_digest = 0
+        self._part_digests = [0] * VIEW_PARTS
+        self.put(own, now, own.name)
 
     @property
-    def own(self) -> Change:
-        return self.members[self.me].told
+    def own_update(self) -> MemberUpdate:
+        return self.members[self.own_name].update
 
     def get(self, name: str) -> Member | None:
         return self.members.get(name)
 
-    def put(self, told: Change, now: int, word: str) -> Member:
-        """Believe this of a member from now on, whatever was believed before."""
-        member = self.members.get(told.name)
+    def put(self, update: MemberUpdate, now: int, reporter: str) -> Member:
+        """Store a member's update in place of any earlier one, whether or not it supersedes that."""
+        member = self.members.get(update.name)
         if member is None:
-            member = self.members[told.name] = Member(told, now, word, part_of(told.name))
+            member = self.members[update.name] = Member(update, now, reporter, view_part_of(update.name))
         else:
-            self._leave_address(member)
-            self._discount(member)
-            if member.told.state is not told.state:
-                member.since_us = now
-            member.told, member.word = told, word
-        self.addresses[told.address] += 1
-        if told.state is State.SUSPECT:
-            self.suspects[told.name] = member
+            self._release_address(member)
+            self._remove_from_view(member)
+            if member.update.state is not update.state:
+                member.state_since_us = now
+            member.update, member.reporter = update, reporter
+        self.address_counts[update.address] += 1
+        if update.state is State.SUSPECT:
+            self.suspects[update.name] = member
         else:
-            member.doubters.clear()
-        if told.state is State.GONE:
-            self.gone[told.name] = member
-        if member.here:
-            member.sum = sum_of(told)
-            self.here += 1
-            self._mix(member)
+            member.suspectors.clear()
+        if update.state is State.GONE:
+            self.failed[update.name] = member
+        if member.is_present:
+            member.view_digest = view_digest_of(update)
+            self.present_count += 1
+            self._toggle_in_view(member)
         return member
 
-    def forget(self, name: str) -> None:
+    def remove(self, name: str) -> None:
+        """Drop a member from the table, as if it had never been known."""
         member = self.members.pop(name)
-        self._leave_address(member)
-        self._discount(member)
+        self._release_address(member)
+        self._remove_from_view(member)
 
-    def _leave_address(self, member: Member) -> None:
-        address = member.told.address
-        self.addresses[address] -= 1
-        if not self.addresses[address]:
-            del self.addresses[address]
+    def _release_address(self, member: Member) -> None:
+        address = member.update.address
+        self.address_counts[address] -= 1
+        if not self.address_counts[address]:
+            del self.address_counts[address]
 
-    def _discount(self, member: Member) -> None:
-        name = member.told.name
+    def _remove_from_view(self, member: Member) -> None:
+        name = member.update.name
         self.suspects.pop(name, None)
-        self.gone.pop(name, None)
-        if member.sum:
-            self._mix(member)
-            self.here -= 1
-            member.sum = 0
+        self.failed.pop(name, None)
+        if member.view_digest:
+            self._toggle_in_view(member)
+            self.present_count -= 1
+            member.view_digest = 0
 
-    def _mix(self, member: Member) -> None:
-        """Put its sum into the view, or take it out again: the same, for it is an exclusive or."""
-        self._view ^= member.sum
-        self._parts[member.part] ^= member.sum >> 32
+    def _toggle_in_view(self, member: Member) -> None:
+        """Add a member's digest to the view's, or remove it: both are the same exclusive or."""
+        self._view_digest ^= member.view_digest
+        self._part_digests[member.view_part] ^= member.view_digest >> 32
 
     @property
     def view(self) -> bytes:
-        """Eight bytes that name the view: equal where the same members are here, in the same lives and builds."""
-        return self._view.to_bytes(8, "big")
+        """Eight bytes that identify the view: equal for the same present members, incarnations and builds."""
+        return self._view_digest.to_bytes(8, "big")
 
     @property
-    def parts(self) -> bytes:
-        return b"".join(part.to_bytes(PART_BYTES, "big") for part in self._parts)
-
-    def differing(self, parts: bytes) -> list[int]:
-        """Which parts of the view differ from another's."""
-        own = self.parts
-        if len(parts) != len(own):
-            return list(range(PARTS))
-        return [i for i in range(PARTS) if own[4 * i : 4 * i + 4] != parts[4 * i : 4 * i + 4]]
-
-    def in_part(self, part: int) -> list[Member]:
-        return [member for member in self.members.values() if member.part == part]
-
-    def others_here(self) -> Iterator[Member]:
-        return (member for name, member in self.members.items() if member.here and name != self.me)
-
-    def agreement(self, since_us: int, roster: int) -> Agreement:
-        """What those that have told their view since then hold; `roster` is how many there ought to be at the most."""
-        same, other, unheard = [self.me], [], []
-        for member in self.others_here():
-            if member.view_us < since_us:
-                unheard.append(member.told.name)
+    def part_digests(self) -> bytes:
+        """The digests of all parts of the view, in order."""
+        return b"".join(part.to_bytes(PART_DIGEST_BYTES, "big") for part in self._part_digests)
+
+    def differing_parts(self, part_digests: bytes) -> list[int]:
+        """Return the indexes of the parts whose digests differ from another member's."""
+        own = self.part_digests
+        if len(part_digests) != len(own):
+            return list(range(VIEW_PARTS))
+        return [i for i in range(VIEW_PARTS) if own[4 * i : 4 * i + 4] != part_digests[4 * i : 4 * i + 4]]
+
+    def members_in_part(self, part: int) -> list[Member]:
+        return [member for member in self.members.values() if member.view_part == part]
+
+    def others_present(self) -> Iterator[Member]:
+        """Iterate over the present members other than this one."""
+        return (member for name, member in self.members.items() if member.is_present and name != self.own_name)
+
+    def agreement(self, since_us: int, expected_members: int) -> Agreement:
+        """Sort the present members by the views that they have reported since `since_us`."""
+        agreeing, differing, not_heard = [self.own_name], [], []
+        for member in self.others_present():
+            if member.view_received_us < since_us:
+                not_heard.append(member.update.name)
             elif member.view == self.view:
-                same.append(member.told.name)
+                agreeing.append(member.update.name)
             else:
-                other.append(member.told.name)
-        return Agreement(self.view, tuple(sorted(same)), tuple(sorted(other)), tuple(sorted(unheard)), roster)
+                differing.append(member.update.name)
+        return Agreement(
+            self.view, tuple(sorted(agreeing)), tuple(sorted(differing)), tuple(sorted(not_heard)), expected_members
+        )
 
 
-def part_of(name: str) -> int:
-    return digest(name.encode())[0] % PARTS
+def view_part_of(name: str) -> int:
+    """Return the index of the part of the view that a member belongs to."""
+    return digest(name.encode())[0] % VIEW_PARTS
 
 
-def sum_of(told: Change) -> int:
-    """What a member that is here adds to the view; never 0."""
-    return int.from_bytes(digest(told.name.encode(), told.incarnation.to_bytes(8, "big"), told.build), "big") or 1
+def view_digest_of(update: MemberUpdate) -> int:
+    """Return a present member's contribution to the view's digest; never 0."""
+    return int.from_bytes(digest(update.name.encode(), update.incarnation.to_bytes(8, "big"), update.build), "big") or 1
--- a/eiderhub/fleet/messages.py
+++ b/eiderhub/fleet/messages.py
@@ -1,6 +1,8 @@
-"""Datagrams between sidecars: at most 256 bytes each, MessagePack, and a digest that is keyed where a key is shared.
+"""The wire format between sidecars: datagrams of at most 256 bytes.
 
-A datagram is `VERSION`, a digest and one message. What can't be read is counted by why.
+A datagram consists of the byte FORMAT_VERSION, a digest of the body (keyed if the fleet shares a key) and the body, one
+message in MessagePack. The messages are those of SWIM (ping, ack, ping request), Lifeguard's nack, and digests and
+parts of the view for anti-entropy. Their fields are written by position.
 """
 
 from __future__ import annotations
@@ -12,21 +14,24 @@
 
 import msgspec
 
-MOST = 256  # bytes of a datagram: the platform carries no more
-VERSION = 0x71  # of this form: another is dropped, not guessed at
-TAG = 16  # bytes of the keyed digest: a forger has 2**64 tries to make, and 256 bytes have to hold the rest
-SUM = 6  # bytes of the digest where there is no key: one spoilt bit in a name or a life would be told on for ever
-NAME = 24  # bytes of a member's name
+MAX_DATAGRAM_BYTES = 256  # the platform carries no larger datagrams
+FORMAT_VERSION = 0x71  # datagrams with another version are dropped
+MAC_BYTES = 16  # length of the keyed digest: a forger needs 2**64 tries, and 256 bytes have to hold the body as well
+CHECKSUM_BYTES = 6  # length of the digest without a key: a corrupted name or incarnation would spread through the fleet
+MAX_NAME_BYTES = 24  # length of a member's name
 
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=NAME)]
-Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 48) - 1)]
-Small = Annotated[int, msgspec.Meta(ge=0, le=0xFFFF_FFFF)]
-Short = Annotated[bytes, msgspec.Meta(max_length=8)]
-Address = Annotated[bytes, msgspec.Meta(min_length=6, max_length=6)]
+MemberName = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_BYTES)]
+Uint48 = Annotated[int, msgspec.Meta(ge=0, le=(1 << 48) - 1)]
+Uint32 = Annotated[int, msgspec.Meta(ge=0, le=0xFFFF_FFFF)]
+ShortBytes = Annotated[bytes, msgspec.Meta(max_length=8)]
+PackedAddress = Annotated[bytes, msgspec.Meta(min_length=6, max_length=6)]
 
 
 class State(IntEnum):
-    """What is believed of a member. Of one incarnation, a later state stands above an earlier one."""
+    """State of a member. Within one incarnation a higher state supersedes a lower one.
+
+    GONE is SWIM's "confirm": the member is declared failed. LEFT is an orderly end.
+    """
 
     ALIVE = 0
     SUSPECT = 1
@@ -34,166 +39,167 @@
     GONE = 3
 
 
-class Change(msgspec.Struct, array_like=True, frozen=True):
-    """What is said of one member: as it is told on, the sayer is whoever sends it."""
+class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
+    """A membership update on one member, piggybacked on messages and passed on from member to member."""
 
-    name: Name
-    address: Address
-    incarnation: Number
+    name: MemberName
+    address: PackedAddress
+    incarnation: Uint48
     state: State
-    boot: Small  # drawn at each start: two processes of one name differ in it
-    build: Short  # digest of the program's version and of the configuration in force
-    by: Short = b""  # of a suspicion: digest of who came to it, for those who doubt on their own count
+    boot_id: Uint32  # random for each process: tells two processes with the same name apart
+    build: ShortBytes  # digest of the program's version and of the configuration in force
+    suspector: ShortBytes = b""  # of a suspicion: digest of the name of the member that raised it independently
 
-    def beats(self, other: Change) -> bool:
-        """Whether this is news beside what was believed: a newer life of the member, or a later state of the same.
+    def supersedes(self, other: MemberUpdate) -> bool:
+        """Whether this update replaces `other`: a newer incarnation, or a higher state of the same incarnation.
 
-        Danger: two that differ in anything else and beat each other in nothing would stand beside each other for good,
-        and the views that hold them would never be one.
+        Updates that differ only in other fields are ordered by those. Without an order between them, each member would
+        keep the one that it received first, and the views would never become equal.
         """
         if self.incarnation != other.incarnation:
             return self.incarnation > other.incarnation
         if self.state is not other.state:
             return self.state > other.state
-        return (self.boot, self.build, self.address) > (other.boot, other.build, other.address)
+        return (self.boot_id, self.build, self.address) > (other.boot_id, other.build, other.address)
 
 
-class Saw(msgspec.Struct, array_like=True, frozen=True):
-    """Evidence: what one member saw of one endpoint lately. Not a verdict, and bound to the endpoint's start."""
+class Observation(msgspec.Struct, array_like=True, frozen=True):
+    """One member's recent calls to one endpoint, valid for one start of that endpoint."""
 
-    reporter: Name
-    endpoint: Short  # digest of the endpoint's id
-    started: Number  # Unix time in milliseconds, as discovery tells it; 0: long ago
-    serial: Small  # of the reporter: a later one replaces what it said before
+    reporter: MemberName
+    endpoint: ShortBytes  # digest of the endpoint's id
+    endpoint_started_ms: Uint48  # Unix time in milliseconds, as discovery reports it; 0: long ago
+    sequence: Uint32  # the reporter's sequence number: a higher one replaces the earlier observation
     calls: Annotated[int, msgspec.Meta(ge=0, le=255)]
     failures: Annotated[int, msgspec.Meta(ge=0, le=255)]
-    kind: Annotated[int, msgspec.Meta(ge=0, le=255)]  # the commonest failure, as `interface.Outcome` numbers them
+    last_failure: Annotated[int, msgspec.Meta(ge=0, le=255)]  # value of `interface.Outcome` of the latest failure
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """Are you there? `to` names who is meant, so that a new process at an old address does not answer for another."""
+    """Asks the target for an ack. `target` keeps a new process at the same address from answering for the old one."""
 
-    serial: Small
-    to: Name
-    me: Change
-    view: Short
-    changes: list[Change] = []
-    saw: list[Saw] = []
+    sequence: Uint32
+    target: MemberName
+    sender: MemberUpdate
+    view: ShortBytes
+    updates: list[MemberUpdate] = []
+    observations: list[Observation] = []
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """I am. Serial 0: nobody asked; it says what the receiver should know."""
+    """Answers a ping. With sequence 0 it is unsolicited and only carries updates."""
 
-    serial: Small
-    me: Change
-    view: Short
-    changes: list[Change] = []
-    saw: list[Saw] = []
+    sequence: Uint32
+    sender: MemberUpdate
+    view: ShortBytes
+    updates: list[MemberUpdate] = []
+    observations: list[Observation] = []
 
 
-class Ask(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """Ping this one for me, and pass its answer on."""
+class PingRequest(msgspec.Struct, array_like=True, frozen=True, tag=3):
+    """Asks the receiver to ping the target and to forward its ack: SWIM's ping-req."""
 
-    serial: Small
-    to: Name
-    me: Change
+    sequence: Uint32
+    target: MemberName
+    sender: MemberUpdate
 
 
 class Nack(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """I was asked, and do ask it: so much says that the asker itself is heard."""
+    """Confirms a ping request at once, so that its sender knows that its own messages arrive (Lifeguard)."""
 
-    serial: Small
+    sequence: Uint32
 
 
-class Passed(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """It has answered me."""
+class ForwardedAck(msgspec.Struct, array_like=True, frozen=True, tag=5):
+    """Reports to the sender of a ping request that the target has sent an ack."""
 
-    serial: Small
-    of: Change
+    sequence: Uint32
+    responder: MemberUpdate
 
 
-class Sums(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """Digests of the view by parts, to find where two views differ. `answers`: it came for another one's sums."""
+class ViewDigests(msgspec.Struct, array_like=True, frozen=True, tag=6):
+    """Digests of the parts of the sender's view, to find where two views differ."""
 
-    me: Change
-    view: Short
-    parts: Annotated[bytes, msgspec.Meta(max_length=128)]
-    answers: bool
+    sender: MemberUpdate
+    view: ShortBytes
+    part_digests: Annotated[bytes, msgspec.Meta(max_length=128)]
+    is_reply: bool
 
 
-class Entries(msgspec.Struct, array_like=True, frozen=True, tag=7):
-    """What the sender believes of members in parts that differ. `want`: it asks for the same of the receiver."""
+class ViewPart(msgspec.Struct, array_like=True, frozen=True, tag=7):
+    """The sender's updates on members of one part of the view; `wants_reply` asks for the receiver's in return."""
 
-    me: Change
+    sender: MemberUpdate
     part: Annotated[int, msgspec.Meta(ge=0, le=255)]
-    want: bool
-    changes: list[Change]
+    wants_reply: bool
+    updates: list[MemberUpdate]
 
 
-Message = Ping | Ack | Ask | Nack | Passed | Sums | Entries
+Message = Ping | Ack | PingRequest | Nack | ForwardedAck | ViewDigests | ViewPart
 
 
-class Unreadable(Exception):
-    """A datagram that says nothing to us; the text is the cause as the counters name it."""
+class InvalidDatagram(Exception):
+    """A datagram that can't be read; the text is the cause, under which it is counted."""
 
 
 class Codec:
-    """Bytes from messages and back, under one shared key or none."""
+    """Encodes and decodes messages, with a keyed digest if the fleet shares a key."""
 
     def __init__(self, key: bytes | None) -> None:
         self._key = key
         self._encode = msgspec.msgpack.Encoder().encode
         self._decode = msgspec.msgpack.Decoder(Message).decode
-        self.head = 1 + (TAG if key else SUM)
+        self.header_bytes = 1 + (MAC_BYTES if key else CHECKSUM_BYTES)
 
     def encode(self, message: Message) -> bytes:
-        """Raises ValueError where it does not fit: whoever makes messages leaves out what is too much."""
+        """Return the datagram. Raises ValueError if it is too long: the caller has to keep to `bytes_left`."""
         body = self._encode(message)
-        if self.head + len(body) > MOST:
-            raise ValueError(f"a datagram of {self.head + len(body)} bytes")
-        return bytes((VERSION,)) + self._tag(body) + body
+        if self.header_bytes + len(body) > MAX_DATAGRAM_BYTES:
+            raise ValueError(f"datagram too long: {self.header_bytes + len(body)} bytes")
+        return bytes((FORMAT_VERSION,)) + self._digest(body) + body
 
-    def room(self, message: Message) -> int:
-        """Bytes that may still be added."""
-        return MOST - self.head - len(self._encode(message))
+    def bytes_left(self, message: Message) -> int:
+        """Return how many bytes may still be added to the message."""
+        return MAX_DATAGRAM_BYTES - self.header_bytes - len(self._encode(message))
 
-    def size(self, part: Change | Saw) -> int:
-        """Bytes that a change or a piece of evidence takes."""
-        return len(self._encode(part))
+    def encoded_size(self, item: MemberUpdate | Observation) -> int:
+        """Return the bytes that an update or an observation takes in a message."""
+        return len(self._encode(item))
 
     def decode(self, data: bytes) -> Message:
-        """Raises Unreadable."""
-        if len(data) > MOST:
-            raise Unreadable("oversize")
-        if len(data) <= self.head or data[0] != VERSION:
-            raise Unreadable("version")
-        body = data[self.head :]
-        if not hmac.compare_digest(data[1 : self.head], self._tag(body)):
-            raise Unreadable("key" if self._key else "spoilt")
+        """Return the message of a datagram. Raises InvalidDatagram."""
+        if len(data) > MAX_DATAGRAM_BYTES:
+            raise InvalidDatagram("oversize")
+        if len(data) <= self.header_bytes or data[0] != FORMAT_VERSION:
+            raise InvalidDatagram("version")
+        body = data[self.header_bytes :]
+        if not hmac.compare_digest(data[1 : self.header_bytes], self._digest(body)):
+            raise InvalidDatagram("key" if self._key else "spoilt")
         try:
             return self._decode(body)
         except (msgspec.DecodeError, msgspec.ValidationError):
-            raise Unreadable("malformed") from None
+            raise InvalidDatagram("malformed") from None
 
-    def _tag(self, body: bytes) -> bytes:
-        return hashlib.blake2b(body, digest_size=self.head - 1, key=self._key or b"").digest()
+    def _digest(self, body: bytes) -> bytes:
+        return hashlib.blake2b(body, digest_size=self.header_bytes - 1, key=self._key or b"").digest()
 
 
 def digest(*parts: bytes) -> bytes:
-    """Eight bytes for these texts: to tell differences among thousands, not to hold against a forger."""
-    found = hashlib.blake2b(digest_size=8)
+    """Return eight bytes that identify these parts among thousands; too few to withstand a forger."""
+    hasher = hashlib.blake2b(digest_size=8)
     for part in parts:
-        found.update(len(part).to_bytes(4, "big") + part)
-    return found.digest()
+        hasher.update(len(part).to_bytes(4, "big") + part)
+    return hasher.digest()
 
 
 def pack_address(host: str, port: int) -> bytes:
-    """Six bytes for an IPv4 address. Raises ValueError."""
-    numbers = [int(part) for part in host.split(".")]
-    if len(numbers) != 4 or not 0 <= port <= 0xFFFF:
-        raise ValueError(f"no IPv4 address: {host}:{port}")
-    return bytes(numbers) + port.to_bytes(2, "big")
+    """Return an IPv4 address and port as six bytes. Raises ValueError."""
+    octets = [int(part) for part in host.split(".")]
+    if len(octets) != 4 or not 0 <= port <= 0xFFFF:
+        raise ValueError(f"not an IPv4 address: {host}:{port}")
+    return bytes(octets) + port.to_bytes(2, "big")
 
 
 def unpack_address(packed: bytes) -> tuple[str, int]:
+    """Reverse `pack_address`."""
     return ".".join(str(byte) for byte in packed[:4]), int.from_bytes(packed[4:], "big")
--- a/eiderhub/fleet/node.py
+++ b/eiderhub/fleet/node.py
@@ -1,7 +1,7 @@
-"""The member's socket: datagrams in and out, alarms, what is written down, and evidence from and to the host.
+"""The I/O of one fleet member: its socket, timers, event log, and the exchange of evidence with the host.
 
-It decides nothing. What comes past its budget is left in the kernel's buffer, and what that can't hold is lost unread:
-a flood of junk must not hold up a request.
+All decisions are the protocol's. Datagrams beyond the read budget stay in the kernel's buffer and are lost unread when
+it is full, so that a flood of junk does not delay requests.
 """
 
 from __future__ import annotations
@@ -14,247 +14,251 @@
 from collections.abc import Mapping
 from typing import Any, Protocol
 
-from eiderhub.fleet.event_log import Journal
-from eiderhub.fleet.evidence import Listed
-from eiderhub.fleet.messages import MOST, Codec
+from eiderhub.fleet.event_log import EventLog
+from eiderhub.fleet.evidence import EndpointStart
+from eiderhub.fleet.messages import MAX_DATAGRAM_BYTES, Codec
 from eiderhub.fleet.options import Options
-from eiderhub.fleet.protocol import Event, Fleet, described
+from eiderhub.fleet.protocol import Event, SwimProtocol, describe_member
 from eiderhub.interface import Outcome
 from eiderhub.sidecar.clock import UNIX_OFFSET_US, Timer, now_us
 
-READS_PER_S = 2000  # datagrams taken from the kernel: one from a stranger costs some 2 us, one that is read some 60
-READ_BURST = 64  # at one turn of the loop: 4 ms at the worst
-REST_S = 0.02  # how long the socket is left alone when the budget is used up
-BUFFER = 1 << 16  # bytes that the kernel may hold
-HEARSAY_S = 0.25  # how often evidence is weighed
-WRITE_S = 0.1  # how often what waits is written down
-SHOW_S = 5.0  # and the table of members, at the most, while it changes
-VIEWS_PER_S = 10  # lines on changed views
+MAX_READS_PER_S = 2000  # datagrams: an unknown sender's takes about 2 us, one that is decoded about 60 us
+MAX_READ_BURST = 64  # datagrams in one turn of the event loop: up to 4 ms
+READ_PAUSE_S = 0.02  # pause of reading after the budget is used up
+RECEIVE_BUFFER_BYTES = 1 << 16  # of the kernel
+EVIDENCE_INTERVAL_S = 0.25  # between evaluations of the evidence
+FLUSH_INTERVAL_S = 0.1  # between writes of pending events
+MEMBERS_INTERVAL_S = 5.0  # between writes of the table of members
+MAX_VIEW_EVENTS_PER_S = 10  # events for changed views outside the periodic writes
 log = logging.getLogger(__name__)
 
 
-class Endpoints(Protocol):
-    """The host, as far as evidence goes."""
+class EvidenceHost(Protocol):
+    """The part of the host that evidence needs."""
 
     def ready_endpoints(self) -> list[tuple[str, int]]:
-        """Endpoints that are ready: their ids and starts, on the module's clock."""
+        """Return the ids and starts of the ready endpoints; starts are on the decision module's clock."""
 
-    def hearsay(self, parts: Mapping[str, float]) -> None: ...
+    def hearsay(self, kept_shares: Mapping[str, float]) -> None: ...
 
 
 class FleetNode:
-    """One member's edge."""
+    """Runs one member's protocol on an event loop."""
 
-    def __init__(self, options: Options, host: Endpoints) -> None:
+    def __init__(self, options: Options, host: EvidenceHost) -> None:
         self.options = options
         self.host = host
-        wall = int(time.time() + options.clock_offset_s)
-        self.fleet = Fleet(
-            options.name, options.address, options.build, Codec(options.key), options.terms, secrets.randbits(64), wall,
-            now_us(),
+        wall_s = int(time.time() + options.clock_offset_s)
+        self.protocol = SwimProtocol(
+            options.name, options.address, options.build, Codec(options.key), options.config, secrets.randbits(64),
+            wall_s, now_us(),
         )  # fmt: skip
-        self.journal = Journal(options.folder) if options.folder else None
+        self.event_log = EventLog(options.folder) if options.folder else None
         self._loop = asyncio.get_running_loop()
-        self._alarm: Timer | None = None
-        self._tokens = float(READ_BURST)
-        self._counted_us = now_us()
-        self._resting: asyncio.TimerHandle | None = None
-        self._chores: list[asyncio.Task[None]] = []
-        self._parts: Mapping[str, float] = {}
-        self._starts: dict[str, int] = {}
-        self._view = b""
-        self._viewed_us = 0
+        self._tick_timer: Timer | None = None
+        self._read_tokens = float(MAX_READ_BURST)
+        self._tokens_refilled_us = now_us()
+        self._read_pause: asyncio.TimerHandle | None = None
+        self._tasks: list[asyncio.Task[None]] = []
+        self._kept_shares: Mapping[str, float] = {}
+        self._started_ms: dict[str, int] = {}
+        self._written_view = b""
+        self._view_written_us = 0
 
     def start(self) -> None:
-        """Raises OSError where the address can't be had."""
+        """Bind the socket and start the protocol. Raises OSError if the address can't be bound."""
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.setblocking(False)
-        self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
+        self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self._socket.bind(self.options.listen)
-        self._loop.add_reader(self._socket, self._readable)
+        self._loop.add_reader(self._socket, self._on_readable)
         log.info("fleet: %s listens on %s:%d", self.options.name, *self._socket.getsockname())
-        self._write(event="start", incarnation=self.fleet.table.own.incarnation, build=self.options.build.hex())
-        self._chores = [self._loop.create_task(self._keep_books())]
-        if self.options.terms.knows:
-            self._chores.append(self._loop.create_task(self._weigh()))
-        for chore in self._chores:
-            chore.add_done_callback(_say_why)
-        self._rearm()
+        self._log_event(
+            event="start", incarnation=self.protocol.table.own_update.incarnation, build=self.options.build.hex()
+        )
+        self._tasks = [self._loop.create_task(self._write_periodically())]
+        if self.options.config.shares_evidence:
+            self._tasks.append(self._loop.create_task(self._evaluate_evidence()))
+        for task in self._tasks:
+            task.add_done_callback(_log_task_failure)
+        self._schedule_tick()
 
     def stop(self) -> None:
-        """We end in good order: a few are told, and what waits is written."""
-        self.fleet.leave(now_us())
-        self._flush()
-        for chore in self._chores:
-            chore.cancel()
-        if self._alarm is not None:
-            self._alarm.cancel()
-        if self._resting is not None:
-            self._resting.cancel()
+        """Announce that the member leaves, close the socket and write the pending events."""
+        self.protocol.leave(now_us())
+        self._send_pending()
+        for task in self._tasks:
+            task.cancel()
+        if self._tick_timer is not None:
+            self._tick_timer.cancel()
+        if self._read_pause is not None:
+            self._read_pause.cancel()
         self._loop.remove_reader(self._socket)
         self._socket.close()
-        self._write(event="stop", **self._counts())
-        if self.journal is not None:
-            self._loop.run_in_executor(None, self.journal.flush)  # the drain does not wait for a disk
+        self._log_event(event="stop", **self._counters())
+        if self.event_log is not None:
+            self._loop.run_in_executor(None, self.event_log.flush)  # the drain does not wait for a disk
 
     def adopt(self, build: bytes) -> None:
-        """Other files are in force."""
-        self.fleet.adopt(now_us(), build)
-        self._flush()
+        """Announce the build of a reloaded configuration."""
+        self.protocol.set_build(now_us(), build)
+        self._send_pending()
 
-    # --- time ---
+    # --- timers ---
 
-    def _rearm(self) -> None:
-        self._alarm = Timer(self.fleet.due_us(), self._tick)
+    def _schedule_tick(self) -> None:
+        self._tick_timer = Timer(self.protocol.due_us(), self._tick)
 
     def _tick(self) -> None:
         try:
-            self.fleet.tick(now_us())
-            self._flush()
-        except Exception:  # a view that is wrong must not end a process that serves
+            self.protocol.tick(now_us())
+            self._send_pending()
+        except Exception:  # a failure of the protocol must not end a process that serves requests
             log.exception("fleet: the protocol failed")
-        self._rearm()
+        self._schedule_tick()
 
     # --- the socket ---
 
-    def _readable(self) -> None:
+    def _on_readable(self) -> None:
         now = now_us()
-        self._tokens = min(READ_BURST, self._tokens + (now - self._counted_us) * READS_PER_S / 1e6)
-        self._counted_us = now
-        while self._tokens >= 1.0:
+        self._read_tokens = min(
+            MAX_READ_BURST, self._read_tokens + (now - self._tokens_refilled_us) * MAX_READS_PER_S / 1e6
+        )
+        self._tokens_refilled_us = now
+        while self._read_tokens >= 1.0:
             try:
-                data, source = self._socket.recvfrom(MOST + 1)
+                data, source = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 break
-            except OSError as error:  # what we sent could not be delivered: nothing new
-                self.fleet.counts[f"socket: {error.strerror}"] += 1
+            except OSError as error:  # an earlier datagram could not be delivered, which the probes detect anyway
+                self.protocol.counts[f"socket: {error.strerror}"] += 1
                 continue
-            self._tokens -= 1.0
+            self._read_tokens -= 1.0
             try:
-                self.fleet.receive(now, source, data)
+                self.protocol.receive(now, source, data)
             except Exception:
-                log.exception("fleet: a datagram could not be taken")
+                log.exception("fleet: a datagram could not be handled")
         else:
-            self._rest()
-        self._flush()
+            self._pause_reading()
+        self._send_pending()
 
-    def _rest(self) -> None:
-        """The budget is used up: what comes now is dropped by the kernel, unread."""
+    def _pause_reading(self) -> None:
+        """Stop reading for a while, since the budget is used up: the kernel drops what exceeds its buffer."""
         self._loop.remove_reader(self._socket)
-        self.fleet.counts["rests"] += 1
-        self.fleet.doubt_ourselves(now_us())
-        self._resting = self._loop.call_later(REST_S, self._wake)
+        self.protocol.counts["rests"] += 1
+        self.protocol.record_overload(now_us())
+        self._read_pause = self._loop.call_later(READ_PAUSE_S, self._resume_reading)
 
-    def _wake(self) -> None:
-        self._resting = None
-        self._loop.add_reader(self._socket, self._readable)
+    def _resume_reading(self) -> None:
+        self._read_pause = None
+        self._loop.add_reader(self._socket, self._on_readable)
 
-    def _flush(self) -> None:
-        for to, data in self.fleet.sent():
+    def _send_pending(self) -> None:
+        for destination, data in self.protocol.take_datagrams():
             try:
-                self._socket.sendto(data, to)
-            except OSError as error:  # late or not at all: the protocol expects no more
-                self.fleet.counts[f"socket: {error.strerror}"] += 1
-        for event in self.fleet.told():
-            self._note(event)
-        view = self.fleet.table.view
+                self._socket.sendto(data, destination)
+            except OSError as error:  # the protocol tolerates lost datagrams
+                self.protocol.counts[f"socket: {error.strerror}"] += 1
+        for event in self.protocol.take_events():
+            self._log_protocol_event(event)
+        view = self.protocol.table.view
         now = now_us()
-        if view != self._view and now - self._viewed_us > 1_000_000 // VIEWS_PER_S:
-            self._show_view(view, now)
+        if view != self._written_view and now - self._view_written_us > 1_000_000 // MAX_VIEW_EVENTS_PER_S:
+            self._log_view(view, now)
 
     # --- evidence ---
 
-    def witness(self, endpoint: str, outcome: Outcome) -> None:
-        """The host's word on each attempt that has ended."""
-        started = self._starts.get(endpoint)
-        if started is not None:
-            self.fleet.board.note(now_us(), Listed(endpoint, started), outcome)
+    def record_outcome(self, endpoint: str, outcome: Outcome) -> None:
+        """Record the outcome of an attempt; the host calls it for each attempt that ends."""
+        started_ms = self._started_ms.get(endpoint)
+        if started_ms is not None:
+            self.protocol.evidence.record(now_us(), EndpointStart(endpoint, started_ms), outcome)
 
-    async def _weigh(self) -> None:
+    async def _evaluate_evidence(self) -> None:
         while True:
-            pool = [Listed(name, started_ms(launched)) for name, launched in self.host.ready_endpoints()]
-            self._starts = {endpoint.id: endpoint.started_ms for endpoint in pool}
-            self.fleet.board.forget_all_but(pool)
-            parts = self.fleet.board.hearsay(now_us(), pool)
-            if parts != self._parts:
-                self._tell_parts(parts)
-            await asyncio.sleep(HEARSAY_S)
-
-    def _tell_parts(self, parts: Mapping[str, float]) -> None:
-        for endpoint in parts.keys() - self._parts.keys():
-            self._write(event="hearsay", endpoint=endpoint, part=round(parts[endpoint], 3))
-        for endpoint in self._parts.keys() - parts.keys():
-            self._write(event="hearsay", endpoint=endpoint, part=1.0)
-        self._parts = parts
-        self.host.hearsay(parts)
-
-    # --- what is written down ---
-
-    def _write(self, **fields: Any) -> None:
-        if self.journal is not None:
-            self.journal.line(t=round(time.time(), 6), n=self.options.name, **fields)
-
-    def _note(self, event: Event) -> None:
-        self._write(event=event.what, member=event.member, word=event.word)
-
-    def _show_view(self, view: bytes, now: int) -> None:
-        self._view, self._viewed_us = view, now
-        self._write(event="view", view=view.hex(), here=self.fleet.table.here)
-
-    def _counts(self) -> dict[str, Any]:
-        return {"counts": dict(sorted(self.fleet.counts.items()))}
-
-    def _show(self, now: int) -> None:
-        if self.journal is None:
+            pool = [EndpointStart(name, unix_start_ms(started_us)) for name, started_us in self.host.ready_endpoints()]
+            self._started_ms = {endpoint.id: endpoint.started_ms for endpoint in pool}
+            self.protocol.evidence.retain_only(pool)
+            kept_shares = self.protocol.evidence.kept_shares(now_us(), pool)
+            if kept_shares != self._kept_shares:
+                self._publish_kept_shares(kept_shares)
+            await asyncio.sleep(EVIDENCE_INTERVAL_S)
+
+    def _publish_kept_shares(self, kept_shares: Mapping[str, float]) -> None:
+        for endpoint in kept_shares.keys() - self._kept_shares.keys():
+            self._log_event(event="hearsay", endpoint=endpoint, part=round(kept_shares[endpoint], 3))
+        for endpoint in self._kept_shares.keys() - kept_shares.keys():
+            self._log_event(event="hearsay", endpoint=endpoint, part=1.0)
+        self._kept_shares = kept_shares
+        self.host.hearsay(kept_shares)
+
+    # --- event log ---
+
+    def _log_event(self, **fields: Any) -> None:
+        if self.event_log is not None:
+            self.event_log.append(t=round(time.time(), 6), n=self.options.name, **fields)
+
+    def _log_protocol_event(self, event: Event) -> None:
+        self._log_event(event=event.kind, member=event.member, word=event.detail)
+
+    def _log_view(self, view: bytes, now: int) -> None:
+        self._written_view, self._view_written_us = view, now
+        self._log_event(event="view", view=view.hex(), here=self.protocol.table.present_count)
+
+    def _counters(self) -> dict[str, Any]:
+        return {"counts": dict(sorted(self.protocol.counts.items()))}
+
+    def _write_members(self, now: int) -> None:
+        if self.event_log is None:
             return
-        table, agreement = self.fleet.table, self.fleet.agreement(now - 20 * self.options.terms.period_us)
-        self.journal.members(
+        table, agreement = self.protocol.table, self.protocol.agreement(now - 20 * self.options.config.period_us)
+        self.event_log.set_members(
             {
                 "name": self.options.name,
                 "at": round(time.time(), 3),
                 "view": table.view.hex(),
-                "here": table.here,
-                "roster": agreement.roster,
-                "same": len(agreement.same),
-                "other": agreement.other,
-                "unheard": agreement.unheard,
-                "agreed": agreement.all_reached,
-                "majority": agreement.majority,
-                "slow": self.fleet.slow,
-                "yielded": self.fleet.yielded,
-                **self._counts(),
-                "members": [described(member, now) for member in table.members.values()],
+                "here": table.present_count,
+                "roster": agreement.expected_members,
+                "same": len(agreement.agreeing),
+                "other": agreement.differing,
+                "unheard": agreement.not_heard,
+                "agreed": agreement.is_unanimous,
+                "majority": agreement.has_majority,
+                "slow": self.protocol.local_health_score,
+                "yielded": self.protocol.has_lost_name,
+                **self._counters(),
+                "members": [describe_member(member, now) for member in table.members.values()],
             }
         )
 
-    async def _keep_books(self) -> None:
-        shown = 0
+    async def _write_periodically(self) -> None:
+        members_written_us = 0
         while True:
             now = now_us()
-            if self.fleet.table.view != self._view:
-                self._show_view(self.fleet.table.view, now)
-            if now - shown > SHOW_S * 1e6:
-                shown = now
-                self._show(now)
-            if self.journal is not None and self.journal.waits:
-                await asyncio.to_thread(self.journal.flush)
-            await asyncio.sleep(WRITE_S)
+            if self.protocol.table.view != self._written_view:
+                self._log_view(self.protocol.table.view, now)
+            if now - members_written_us > MEMBERS_INTERVAL_S * 1e6:
+                members_written_us = now
+                self._write_members(now)
+            if self.event_log is not None and self.event_log.has_pending:
+                await asyncio.to_thread(self.event_log.flush)
+            await asyncio.sleep(FLUSH_INTERVAL_S)
 
 
-def _say_why(chore: asyncio.Task[None]) -> None:
-    """A chore goes on for good: one that has ended has failed, and nothing else would tell."""
-    if not chore.cancelled() and chore.exception() is not None:
-        log.error("fleet: a chore has ended", exc_info=chore.exception())
+def _log_task_failure(task: asyncio.Task[None]) -> None:
+    """Log the exception of a background task, which would otherwise stay unnoticed: none of them ends by itself."""
+    if not task.cancelled() and task.exception() is not None:
+        log.error("fleet: a background task has failed", exc_info=task.exception())
 
 
-def started_ms(launched_us: int) -> int:
-    """An endpoint's start as discovery told it, the same at every sidecar; 0: long ago."""
-    return (launched_us + UNIX_OFFSET_US) // 1000 if launched_us else 0
+def unix_start_ms(started_us: int) -> int:
+    """Convert an endpoint's start to Unix time in milliseconds, equal at all sidecars; 0 (long ago) stays 0."""
+    return (started_us + UNIX_OFFSET_US) // 1000 if started_us else 0
 
 
 def join_fleet(options: Options, host: Any) -> FleetNode:
-    """Let the host's outcomes be witnessed, and start once the loop runs."""
-    port = FleetNode(options, host)
-    if options.terms.knows:
-        host.outcome_listener = port.witness
-    return port
+    """Return a node, still to be started, that receives the host's outcomes if evidence is shared."""
+    node = FleetNode(options, host)
+    if options.config.shares_evidence:
+        host.outcome_listener = node.record_outcome
+    return node
--- a/eiderhub/fleet/protocol.py
+++ b/eiderhub/fleet/protocol.py
@@ -1,10 +1,15 @@
-"""What a member of the fleet sends and concludes: SWIM with Lifeguard's doubts of oneself, and views mended by digests.
+"""The membership protocol of one fleet member: SWIM with Lifeguard, and anti-entropy over digests of the view.
+
+In each protocol period a member pings one other member. Without an ack it asks a few others to ping the target for it
+(SWIM's ping-req); without any answer it suspects the target, which is declared failed unless it refutes the suspicion
+in time. Membership updates are piggybacked on pings and acks. Lifeguard adds a local health score that lengthens the
+timeouts of a member that is itself slow, and suspicion timeouts that shorten with each independent suspicion.
 
 Sources: "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol" (Das, Gupta, Motivala,
 2002); "Lifeguard: Local Health Awareness for More Accurate Failure Detection" (Dadgar, Phillips, Currey, 2018).
 
-A pure state machine: time in microseconds and datagrams go in, datagrams and events come out. It never reads a clock.
-Every queue has a bound. What a member sends in a period does not depend on the fleet's size.
+`SwimProtocol` is a pure state machine: time in microseconds and datagrams go in, datagrams and events come out. It
+never reads a clock. Every queue has a bound. What a member sends in a period does not depend on the fleet's size.
 """
 
 from __future__ import annotations
@@ -19,596 +24,649 @@
 
 import msgspec
 
-from eiderhub.fleet.evidence import Board
-from eiderhub.fleet.member_table import Address, Agreement, Member, Table
+from eiderhub.fleet.evidence import EvidenceStore
+from eiderhub.fleet.member_table import Address, Agreement, Member, MemberTable
 from eiderhub.fleet.messages import (
     Ack,
-    Ask,
-    Change,
     Codec,
-    Entries,
+    ForwardedAck,
+    InvalidDatagram,
+    MemberUpdate,
     Message,
     Nack,
-    Passed,
+    Observation,
     Ping,
-    Saw,
+    PingRequest,
     State,
-    Sums,
-    Unreadable,
+    ViewDigests,
+    ViewPart,
     digest,
     pack_address,
     unpack_address,
 )
 
-ASKED = 3  # members that are asked to ping for us
-MOST_SLOW = 8  # how far a member's doubt of itself stretches its patience
-ANSWER_PART = 0.4  # of a period, how long a direct answer is waited for before others are asked
-SUSPECT_PERIODS = 4.0  # times log10 of the fleet: the least time that a suspect has to refute
-SUSPECT_SPREAD = 4.0  # and the most, as a multiple of the least: where nobody else doubts it
-TELL = 3.0  # times log2 of the fleet: how often each change is told on
-KEEP_US = 600_000_000  # how long the gone are remembered, so that old words of them are known as old
-FORGET_PERIODS = 32  # how often that is looked after
-KNOCK_PART = 0.25  # of the periods, how many end with a knock at one that is gone: so cut-off halves find each other
-SYNC_PERIODS = 4  # views are compared with one other member so often
-SUMS_PER_PERIOD = 3  # answers to comparisons that differ, each of a few datagrams: a storm ends here
-MOST_MEMBERS = 4096  # entries of the table: past it unknown names are dropped
-MOST_NEWS = 512  # changes that wait to be told on
-STALL_PERIODS = 2.0  # a timer so late says that we stood still ourselves
-DEAF_PERIODS = 4.0  # after datagrams were left unread, how long nobody is given up
-QUARREL = 4  # foreign lives of our own name within QUARREL_US: another process bears it
-QUARREL_US = 20_000_000
-MOST_PASSING = 64  # questions asked for others at a time
-MOST_CHANGES = 15  # in one datagram: a longer list takes two bytes more for its length
-LAST_LIFE = (1 << 48) - 1  # incarnations are seconds of Unix time, and a few more
-EVENTS = 256  # events that wait to be fetched
+INDIRECT_PROBES = 3  # members that receive a ping request when a direct ping gets no ack: SWIM's k
+MAX_LOCAL_HEALTH_SCORE = 8  # Lifeguard's S: bounds how far a slow member lengthens its own timeouts
+ACK_TIMEOUT_SHARE = 0.4  # of a period: the wait for an ack before indirect probes are sent
+MIN_SUSPICION_PERIODS = 4.0  # times log10 of the fleet's size: the shortest time that a suspect has to refute
+MAX_SUSPICION_MULTIPLE = 4.0  # of the shortest time: the time that a suspect has while only one member suspects it
+RETRANSMIT_MULTIPLIER = 3.0  # times log2 of the fleet's size: how often each update is sent
+DEPARTED_RETENTION_US = 600_000_000  # failed and left members are kept so long, so that stale updates are recognized
+CLEANUP_PERIODS = 32  # periods between removals of departed members whose retention has ended
+# Share of the periods that end with a probe of a failed or unmatched address, so that the two sides of a partition
+# find each other again.
+UNREACHABLE_PROBE_SHARE = 0.25
+SYNC_PERIODS = 4  # periods between comparisons of the view with one other member
+MAX_COMPARISONS_PER_PERIOD = 3  # answers to differing digests, each of a few datagrams: bounds a storm of comparisons
+MAX_MEMBERS = 4096  # entries of the table; updates on further names are dropped
+MAX_BROADCASTS = 512  # queued updates
+STALL_PERIODS = 2.0  # a tick that is later than this means that this process itself was suspended
+OVERLOAD_GRACE_PERIODS = 4.0  # no member is declared failed for so long after datagrams were left unread
+NAME_CONFLICT_COUNT = 4  # updates from a process with the same name, in NAME_CONFLICT_WINDOW_US, that settle a conflict
+NAME_CONFLICT_WINDOW_US = 20_000_000
+MAX_FORWARDED_PINGS = 64  # pings on behalf of others that are under way
+MAX_UPDATES = 15  # in one datagram: MessagePack takes two more bytes for the length of a longer list
+MAX_INCARNATION = (1 << 48) - 1  # incarnations start at the Unix time in seconds and rise by one with each refutation
+MAX_EVENTS = 256  # events that wait for `take_events`
 
 
 class Event(NamedTuple):
-    """Something that those on call may want to read."""
+    """A change of a member's state or of this member's condition, for operators."""
 
     at_us: int
-    what: str
+    kind: str
     member: str
-    word: str  # by whose word, or why
+    detail: str  # the member that reported the change, or the reason
 
 
 class Datagram(NamedTuple):
-    to: Address
+    """An encoded message and the address that it goes to."""
+
+    destination: Address
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """How this fleet runs."""
+class ProtocolConfig:
+    """The protocol's settings, from the operator's table `[fleet]`."""
 
     period_us: int = 500_000
-    contacts: tuple[Address, ...] = ()  # whom a start asks; whose datagrams are read, where `introduced` is off
-    introduced: bool = False  # whether members told of by others may speak to us, at addresses that nobody listed
-    roster: int = 0  # members that there ought to be; 0: as many as contacts
-    knows: bool = True  # whether evidence of endpoints is told and heard
+    contacts: tuple[Address, ...] = ()  # joined at the start; the only sources accepted without `accepts_introduced`
+    accepts_introduced: bool = False  # accept datagrams from any address, so that members can join without being listed
+    expected_members: int = 0  # size of the whole fleet; 0: as many as contacts
+    shares_evidence: bool = True  # send and receive observations of endpoints
 
 
 class Probe:
-    """The one question that is out."""
+    """The probe of the current period, while it has no answer."""
 
-    __slots__ = ("asked", "nacks", "name", "serial")
+    __slots__ = ("nacks", "requests", "sequence", "target")
 
-    def __init__(self, name: str, serial: int) -> None:
-        self.name, self.serial = name, serial
-        self.asked = 0  # members that were asked to ping for us
+    def __init__(self, target: str, sequence: int) -> None:
+        self.target, self.sequence = target, sequence
+        self.requests = 0  # ping requests sent to other members
         self.nacks = 0
 
 
-class Fleet:
-    """One member."""
+class SwimProtocol:
+    """The protocol state of one member.
+
+    `wall_s` is the Unix time in seconds, the first incarnation; `now` is the current time in microseconds on the clock
+    that all other methods use too.
+    """
 
     def __init__(
-        self, name: str, address: Address, build: bytes, codec: Codec, terms: Terms, seed: int, wall_s: int, now: int
+        self,
+        name: str,
+        address: Address,
+        build: bytes,
+        codec: Codec,
+        config: ProtocolConfig,
+        seed: int,
+        wall_s: int,
+        now: int,
     ) -> None:
         self.random = random.Random(seed)
         self.codec = codec
-        self.terms = terms
+        self.config = config
         self.address = address
-        me = Change(name, pack_address(*address), max(0, wall_s), State.ALIVE, self.random.getrandbits(32), build)
-        self.table = Table(me, now)
-        self.board = Board(name, now)
-        self._sign = digest(name.encode())[:4]
-        self.slow = 0  # 0: sound
-        self.counts: Counter[str] = Counter()  # what was dropped, sent and concluded, by cause
-        self.yielded = False  # another process has our name, and keeps it
-        self._contacts = [pack_address(*a) for a in terms.contacts if a != address]
-        self._unmet = list(self._contacts)  # at which nobody is known: those that are leave it as they are drawn
-        self._allowed = frozenset(terms.contacts)
-        self._serial = 0
+        own = MemberUpdate(
+            name, pack_address(*address), max(0, wall_s), State.ALIVE, self.random.getrandbits(32), build
+        )
+        self.table = MemberTable(own, now)
+        self.evidence = EvidenceStore(name, now)
+        self._own_suspector = digest(name.encode())[:4]
+        self.local_health_score = 0  # Lifeguard's local health multiplier; 0: healthy
+        self.counts: Counter[str] = Counter()  # datagrams and events by kind or cause
+        self.has_lost_name = False  # another process has this member's name and keeps it
+        self._contacts = [pack_address(*a) for a in config.contacts if a != address]
+        # Contacts without a known member at their address. One that has a member by now is removed when it is drawn.
+        self._unmatched_contacts = list(self._contacts)
+        self._allowed_sources = frozenset(config.contacts)
+        self._sequence = 0
         self._probe: Probe | None = None
-        self._order: list[str] = []  # who is asked next
-        self._news: dict[str, int] = {}  # how often each change has been told
-        self._passing: dict[int, tuple[int, Address, str, int]] = {}  # pings for others: serial, whom, when
-        self._next_period = now + int(self.random.random() * terms.period_us)
-        self._answer_due = -1
-        self._periods = 0
-        self._deaf_until = 0
-        self._sync_in = 1
-        self._differs = ""  # who told another view
-        self._sums_left = SUMS_PER_PERIOD
-        self._quarrels: deque[int] = deque(maxlen=QUARREL)
-        self._out: list[Datagram] = []
-        self.events: deque[Event] = deque(maxlen=EVENTS)
-
-    # --- what the edge asks ---
+        self._probe_order: list[str] = []  # names that are still to be probed in this round; the last one is next
+        self._broadcasts: dict[str, int] = {}  # by member name: how often its latest update has been sent
+        # Pings on behalf of others, by sequence number: the requester's sequence number and address, the target, when.
+        self._forwarded_pings: dict[int, tuple[int, Address, str, int]] = {}
+        self._next_period_us = now + int(self.random.random() * config.period_us)
+        self._ack_deadline_us = -1
+        self._period_count = 0
+        self._no_failures_until_us = 0
+        self._periods_to_sync = 1
+        self._differing_member = ""  # the last member whose ping or ack named another view
+        self._comparisons_left = MAX_COMPARISONS_PER_PERIOD
+        self._name_conflicts: deque[int] = deque(maxlen=NAME_CONFLICT_COUNT)
+        self._outbox: list[Datagram] = []
+        self.events: deque[Event] = deque(maxlen=MAX_EVENTS)
+
+    # --- queries and output ---
 
     @property
-    def roster(self) -> int:
-        """How many members there ought to be: a majority is more than half of these."""
-        return self.terms.roster or max(len(self._allowed), self.table.here)
+    def expected_members(self) -> int:
+        """The size of the whole fleet; a majority is more than half of it."""
+        return self.config.expected_members or max(len(self._allowed_sources), self.table.present_count)
 
     def agreement(self, since_us: int) -> Agreement:
-        return self.table.agreement(since_us, self.roster)
+        """Return which members hold this member's view, by the views received since `since_us`."""
+        return self.table.agreement(since_us, self.expected_members)
 
-    def admits(self, source: Address) -> bool:
-        """Whether what comes from there is read at all."""
-        return source in self._allowed or self.terms.introduced
+    def accepts_from(self, source: Address) -> bool:
+        """Whether datagrams from this address are read at all."""
+        return source in self._allowed_sources or self.config.accepts_introduced
 
     def due_us(self) -> int:
-        """When `tick` wants to be called."""
-        if self._answer_due >= 0:
-            return min(self._next_period, self._answer_due)
-        return self._next_period
-
-    def sent(self) -> list[Datagram]:
-        """What is to be sent since the last call."""
-        out, self._out = self._out, []
-        return out
-
-    def told(self) -> list[Event]:
-        out = list(self.events)
+        """Return the time at which `tick` is to be called next."""
+        if self._ack_deadline_us >= 0:
+            return min(self._next_period_us, self._ack_deadline_us)
+        return self._next_period_us
+
+    def take_datagrams(self) -> list[Datagram]:
+        """Return the datagrams queued since the last call, for sending."""
+        datagrams, self._outbox = self._outbox, []
+        return datagrams
+
+    def take_events(self) -> list[Event]:
+        """Return the events since the last call; only the latest MAX_EVENTS are kept."""
+        events = list(self.events)
         self.events.clear()
-        return out
+        return events
 
-    # --- time ---
+    # --- timers ---
 
     def tick(self, now: int) -> None:
-        if self.yielded:
-            self._next_period = now + self.terms.period_us
+        """Do everything that is due by now."""
+        if self.has_lost_name:
+            self._next_period_us = now + self.config.period_us
             return
         late = now - self.due_us()
-        if late > STALL_PERIODS * self.terms.period_us:
-            self._stalled(now, late)
-        if 0 <= self._answer_due <= now:
-            self._ask_others(now)
-        self._give_up(now)
-        if now >= self._next_period:
-            self._period(now)
-
-    def _stalled(self, now: int, late: int) -> None:
-        """We stood still: silence proves nothing of others, and what we were about to say may be old.
-
-        Guards against a process that was stopped and then accuses all those whose answers it slept through.
+        if late > STALL_PERIODS * self.config.period_us:
+            self._handle_stall(now, late)
+        if 0 <= self._ack_deadline_us <= now:
+            self._probe_indirectly(now)
+        self._expire_suspicions(now)
+        if now >= self._next_period_us:
+            self._begin_period(now)
+
+    def _handle_stall(self, now: int, late: int) -> None:
+        """Discard the pending probe, the queued updates and the views received, and extend all suspicions.
+
+        This process was suspended: the answers of other members may have arrived unread, and its own queued updates may
+        be stale. Without this it would suspect every member whose answers it missed.
         """
-        self._event(now, "stalled", self.table.me, f"{late / 1e6:.1f} s")
-        self.slow = min(MOST_SLOW, self.slow + 2)
-        self._probe, self._answer_due = None, -1
-        self._news.clear()
-        self._passing.clear()
-        for member in self.table.others_here():
-            member.view_us = -1
+        self._record_event(now, "stalled", self.table.own_name, f"{late / 1e6:.1f} s")
+        self.local_health_score = min(MAX_LOCAL_HEALTH_SCORE, self.local_health_score + 2)
+        self._probe, self._ack_deadline_us = None, -1
+        self._broadcasts.clear()
+        self._forwarded_pings.clear()
+        for member in self.table.others_present():
+            member.view_received_us = -1
         for member in self.table.suspects.values():
-            member.gone_at_us += late
-        self._next_period = now
-        self._sync_in = 0
+            member.suspicion_deadline_us += late
+        self._next_period_us = now
+        self._periods_to_sync = 0
 
-    def _period(self, now: int) -> None:
-        period = self.terms.period_us
+    def _begin_period(self, now: int) -> None:
+        period = self.config.period_us
         if self._probe is not None:
-            self._unanswered(now, self._probe)
-        self._next_period = now + int(period * (1 + 0.5 * self.slow) * self.random.uniform(0.9, 1.1))
-        self._sums_left = SUMS_PER_PERIOD
-        self._forget(now)
-        self._passing = {serial: row for serial, row in self._passing.items() if now - row[3] < 4 * period}
-        target = self._next_target()
+            self._probe_failed(now, self._probe)
+        self._next_period_us = now + int(period * (1 + 0.5 * self.local_health_score) * self.random.uniform(0.9, 1.1))
+        self._comparisons_left = MAX_COMPARISONS_PER_PERIOD
+        self._remove_expired(now)
+        self._forwarded_pings = {
+            sequence: row for sequence, row in self._forwarded_pings.items() if now - row[3] < 4 * period
+        }
+        target = self._next_probe_target()
         if target is not None:
-            self._serial += 1
-            self._probe = Probe(target.told.name, self._serial)
-            self._answer_due = now + int(ANSWER_PART * period * (1 + 0.5 * self.slow))
-            self._ping(target.told, self._serial)
-        self._sync_in -= 1
-        if target is None or self._sync_in <= 0:
-            self._sync_in = SYNC_PERIODS
-            self._compare()
-        if self.random.random() < KNOCK_PART or target is None:
-            self._knock()
-
-    def _next_target(self) -> Member | None:
-        """Everyone once, in an order drawn anew, before anyone twice: so each is asked within a bounded time."""
+            self._sequence += 1
+            self._probe = Probe(target.update.name, self._sequence)
+            self._ack_deadline_us = now + int(ACK_TIMEOUT_SHARE * period * (1 + 0.5 * self.local_health_score))
+            self._send_ping(target.update, self._sequence)
+        self._periods_to_sync -= 1
+        if target is None or self._periods_to_sync <= 0:
+            self._periods_to_sync = SYNC_PERIODS
+            self._sync_view()
+        if self.random.random() < UNREACHABLE_PROBE_SHARE or target is None:
+            self._probe_unreachable()
+
+    def _next_probe_target(self) -> Member | None:
+        """Return the next member of a shuffled round over all members: each is probed within a bounded time."""
         for _ in range(2):
-            while self._order:
-                member = self.table.get(self._order.pop())
-                if member is not None and member.here:
+            while self._probe_order:
+                member = self.table.get(self._probe_order.pop())
+                if member is not None and member.is_present:
                     return member
-            self._order = [member.told.name for member in self.table.others_here()]
-            self.random.shuffle(self._order)
+            self._probe_order = [member.update.name for member in self.table.others_present()]
+            self.random.shuffle(self._probe_order)
         return None
 
-    def _knock(self) -> None:
-        """Ask one that is gone or that has never answered: it may be there again, or behind a cut that has healed."""
+    def _probe_unreachable(self) -> None:
+        """Send digests to one failed member or unmatched contact: it may be back, or a partition may have healed."""
         own = pack_address(*self.address)
-        gone = [member.told.address for member in self.table.gone.values() if member.told.address != own]
-        unmet = self._unmet if self.table.here < len(self._contacts) + 1 else []
-        while gone or unmet:
-            at = self.random.randrange(len(gone) + len(unmet))
-            door = gone[at] if at < len(gone) else unmet[at - len(gone)]
-            if at >= len(gone) and self.table.addresses[door]:
-                unmet[at - len(gone)] = unmet[-1]
-                unmet.pop()
+        failed = [member.update.address for member in self.table.failed.values() if member.update.address != own]
+        unmatched = self._unmatched_contacts if self.table.present_count < len(self._contacts) + 1 else []
+        while failed or unmatched:
+            index = self.random.randrange(len(failed) + len(unmatched))
+            address = failed[index] if index < len(failed) else unmatched[index - len(failed)]
+            if index >= len(failed) and self.table.address_counts[address]:
+                unmatched[index - len(failed)] = unmatched[-1]
+                unmatched.pop()
                 continue
-            self._send(unpack_address(door), self._sums(False))
+            self._send(unpack_address(address), self._view_digests(False))
             return
 
-    def _forget(self, now: int) -> None:
-        self._periods += 1
-        if self._periods % FORGET_PERIODS:
+    def _remove_expired(self, now: int) -> None:
+        self._period_count += 1
+        if self._period_count % CLEANUP_PERIODS:
             return
-        old = [
+        expired = [
             name
             for name, m in self.table.members.items()
-            if not m.here and now - m.since_us > KEEP_US and name != self.table.me
+            if not m.is_present and now - m.state_since_us > DEPARTED_RETENTION_US and name != self.table.own_name
         ]
-        for name in old:
-            self.table.forget(name)
+        for name in expired:
+            self.table.remove(name)
             self.counts["forgotten"] += 1
-        self._unmet = [address for address in self._contacts if not self.table.addresses[address]]
+        self._unmatched_contacts = [address for address in self._contacts if not self.table.address_counts[address]]
 
-    # --- probing ---
+    # --- probes ---
 
-    def _ping(self, who: Change, serial: int) -> None:
-        told = self.table.get(who.name)
-        # What is believed of the one who is asked goes first: only it can refute it.
-        first = [told.told] if told is not None and told.told.state is not State.ALIVE else []
-        self._send(unpack_address(who.address), Ping(serial, who.name, self.table.own, self.table.view), first)
+    def _send_ping(self, target: MemberUpdate, sequence: int) -> None:
+        known = self.table.get(target.name)
+        # The target learns first that it is suspected or declared failed: only it can refute that.
+        first = [known.update] if known is not None and known.update.state is not State.ALIVE else []
+        self._send(
+            unpack_address(target.address), Ping(sequence, target.name, self.table.own_update, self.table.view), first
+        )
 
-    def _ask_others(self, now: int) -> None:
-        """No direct answer: the path between us may be what fails."""
-        self._answer_due = -1
+    def _probe_indirectly(self, now: int) -> None:
+        """Send ping requests: there was no ack, and the path between this member and the target may be what fails."""
+        self._ack_deadline_us = -1
         probe = self._probe
         if probe is None:
             return
-        others = [m for m in self.table.others_here() if m.told.name != probe.name and m.told.state is State.ALIVE]
-        for member in self.random.sample(others, min(ASKED, len(others))):
-            probe.asked += 1
-            self._send(unpack_address(member.told.address), Ask(probe.serial, probe.name, self.table.own))
-
-    def _unanswered(self, now: int, probe: Probe) -> None:
-        self._probe, self._answer_due = None, -1
-        # Those that were asked and said nothing at all, not even that they got no answer, tell of our own state.
-        missed = probe.asked - probe.nacks
-        self.slow = min(MOST_SLOW, self.slow + (missed if probe.asked else 1))
-        member = self.table.get(probe.name)
-        if member is None or not member.here:
+        others = [
+            m for m in self.table.others_present() if m.update.name != probe.target and m.update.state is State.ALIVE
+        ]
+        for member in self.random.sample(others, min(INDIRECT_PROBES, len(others))):
+            probe.requests += 1
+            self._send(
+                unpack_address(member.update.address), PingRequest(probe.sequence, probe.target, self.table.own_update)
+            )
+
+    def _probe_failed(self, now: int, probe: Probe) -> None:
+        self._probe, self._ack_deadline_us = None, -1
+        # Lifeguard: members that sent not even a nack suggest that this member's own receiving is slow.
+        missed = probe.requests - probe.nacks
+        self.local_health_score = min(
+            MAX_LOCAL_HEALTH_SCORE, self.local_health_score + (missed if probe.requests else 1)
+        )
+        member = self.table.get(probe.target)
+        if member is None or not member.is_present:
             return
-        suspected = msgspec.structs.replace(member.told, state=State.SUSPECT, by=self._sign)
-        if member.told.state is State.ALIVE:
-            self._believe(now, suspected, self.table.me)
+        suspicion = msgspec.structs.replace(member.update, state=State.SUSPECT, suspector=self._own_suspector)
+        if member.update.state is State.ALIVE:
+            self._apply(now, suspicion, self.table.own_name)
         else:
-            self._doubt(now, member, suspected)
+            self._add_suspicion(now, member, suspicion)
 
-    def _answered(self, now: int, serial: int) -> None:
-        if self._probe is not None and self._probe.serial == serial:
-            self._probe, self._answer_due = None, -1
-            self.slow = max(0, self.slow - 1)
+    def _probe_answered(self, now: int, sequence: int) -> None:
+        if self._probe is not None and self._probe.sequence == sequence:
+            self._probe, self._ack_deadline_us = None, -1
+            self.local_health_score = max(0, self.local_health_score - 1)
 
     # --- suspicion ---
 
-    def _patience(self, doubters: int) -> float:
-        """How long a suspect has, in microseconds: the less, the more members doubt it on their own."""
-        n = max(2, self.table.here)
-        least = SUSPECT_PERIODS * max(1.0, math.log10(n)) * self.terms.period_us
-        most = SUSPECT_SPREAD * least
-        wanted = min(ASKED, max(1, n - 2))
-        part = math.log(doubters + 1) / math.log(wanted + 1)
-        return max(least, most - (most - least) * part)
-
-    def _doubt(self, now: int, member: Member, change: Change) -> None:
-        """One more has come to suspect it. The first ones are told on: they shorten the time for all."""
-        if change.by in member.doubters:
+    def _suspicion_timeout_us(self, suspector_count: int) -> float:
+        """Return how long a suspect has to refute, in microseconds: shorter with each independent suspicion.
+
+        `suspector_count` excludes the first one. This is Lifeguard's dynamic suspicion timeout.
+        """
+        size = max(2, self.table.present_count)
+        min_us = MIN_SUSPICION_PERIODS * max(1.0, math.log10(size)) * self.config.period_us
+        max_us = MAX_SUSPICION_MULTIPLE * min_us
+        needed = min(INDIRECT_PROBES, max(1, size - 2))
+        share = math.log(suspector_count + 1) / math.log(needed + 1)
+        return max(min_us, max_us - (max_us - min_us) * share)
+
+    def _add_suspicion(self, now: int, member: Member, update: MemberUpdate) -> None:
+        """Count an independent suspicion. The first few are passed on, since they shorten the timeout everywhere."""
+        if update.suspector in member.suspectors:
             return
-        if not member.doubters:
-            member.since_us = now
-        member.doubters.add(change.by)
-        member.gone_at_us = member.since_us + int(self._patience(len(member.doubters) - 1))
-        if len(member.doubters) <= ASKED + 1:
-            member.told = change
-            self._spread(change.name)
-
-    def _give_up(self, now: int) -> None:
+        if not member.suspectors:
+            member.state_since_us = now
+        member.suspectors.add(update.suspector)
+        member.suspicion_deadline_us = member.state_since_us + int(
+            self._suspicion_timeout_us(len(member.suspectors) - 1)
+        )
+        if len(member.suspectors) <= INDIRECT_PROBES + 1:
+            member.update = update
+            self._queue_broadcast(update.name)
+
+    def _expire_suspicions(self, now: int) -> None:
         for member in list(self.table.suspects.values()):
-            if now >= max(member.gone_at_us, self._deaf_until):
-                self._believe(now, replace_state(member.told, State.GONE), self.table.me)
-
-    def _believe(self, now: int, change: Change, word: str) -> None:
-        """Take news of another, tell it on, and note it."""
-        before = self.table.get(change.name)
-        was = before.told.state if before is not None else None
-        if before is None and len(self.table.members) >= MOST_MEMBERS:
+            if now >= max(member.suspicion_deadline_us, self._no_failures_until_us):
+                self._apply(now, with_state(member.update, State.GONE), self.table.own_name)
+
+    def _apply(self, now: int, update: MemberUpdate, reporter: str) -> None:
+        """Store another member's update, queue it for broadcast, and record an event if the state changed."""
+        known = self.table.get(update.name)
+        old_state = known.update.state if known is not None else None
+        if known is None and len(self.table.members) >= MAX_MEMBERS:
             self.counts["too many members"] += 1
             return
-        member = self.table.put(change, now, word)
-        self._spread(change.name)
-        if change.state is State.SUSPECT:
-            self._doubt(now, member, change)
-        if was is not change.state:
-            self._event(now, change.state.name.lower(), change.name, word)
-
-    def _hear(self, now: int, change: Change, word: str) -> None:
-        """One change that somebody told."""
-        if change.name == self.table.me:
-            self._hear_of_ourselves(now, change)
+        member = self.table.put(update, now, reporter)
+        self._queue_broadcast(update.name)
+        if update.state is State.SUSPECT:
+            self._add_suspicion(now, member, update)
+        if old_state is not update.state:
+            self._record_event(now, update.state.name.lower(), update.name, reporter)
+
+    def _receive_update(self, now: int, update: MemberUpdate, reporter: str) -> None:
+        """Apply an update if it supersedes the known one, or count its suspicion."""
+        if update.name == self.table.own_name:
+            self._receive_own_update(now, update)
             return
-        known = self.table.get(change.name)
+        known = self.table.get(update.name)
         if known is None:
-            # One that was gone before we knew of it is news too: else it would be told to us for ever.
-            if change.state is not State.SUSPECT:
-                self._believe(now, change, word)
+            # An unknown member is stored even as failed or left: otherwise its update would be sent here for ever.
+            if update.state is not State.SUSPECT:
+                self._apply(now, update, reporter)
             else:
-                self._believe(now, replace_state(change, State.ALIVE), word)
-                self._believe(now, change, word)
-        elif change.beats(known.told):
-            self._believe(now, change, word)
-        elif change.state is State.SUSPECT and (known.told.state, known.told.incarnation) == (
+                self._apply(now, with_state(update, State.ALIVE), reporter)
+                self._apply(now, update, reporter)
+        elif update.supersedes(known.update):
+            self._apply(now, update, reporter)
+        elif update.state is State.SUSPECT and (known.update.state, known.update.incarnation) == (
             State.SUSPECT,
-            change.incarnation,
+            update.incarnation,
         ):
-            self._doubt(now, known, change)
-
-    def _hear_of_ourselves(self, now: int, change: Change) -> None:
-        """Whoever says more than we know of ourselves speaks of an earlier life, is wrong, or bears our name."""
-        own = self.table.own
-        if change.boot != own.boot and change.state is State.ALIVE and change.incarnation >= own.incarnation:
-            self._quarrels.append(now)
-            if len(self._quarrels) == QUARREL and now - self._quarrels[0] < QUARREL_US and change.boot > own.boot:
-                self.yielded = True
-                self._event(now, "yielded", own.name, "another process bears this name")
+            self._add_suspicion(now, known, update)
+
+    def _receive_own_update(self, now: int, update: MemberUpdate) -> None:
+        """Refute an update on this member that supersedes its own, or detect a name conflict.
+
+        Such an update is about an earlier process with this name, is wrong, or comes from another live process with
+        this name. In a lasting conflict the process with the larger boot id keeps the name.
+        """
+        own = self.table.own_update
+        if update.boot_id != own.boot_id and update.state is State.ALIVE and update.incarnation >= own.incarnation:
+            self._name_conflicts.append(now)
+            if (
+                len(self._name_conflicts) == NAME_CONFLICT_COUNT
+                and now - self._name_conflicts[0] < NAME_CONFLICT_WINDOW_US
+                and update.boot_id > own.boot_id
+            ):
+                self.has_lost_name = True
+                self._record_event(now, "yielded", own.name, "another process bears this name")
                 return
-        if change.incarnation > own.incarnation or (
-            change.incarnation == own.incarnation and (change.state is not State.ALIVE or change.beats(own))
+        if update.incarnation > own.incarnation or (
+            update.incarnation == own.incarnation and (update.state is not State.ALIVE or update.supersedes(own))
         ):
-            self._renew(now, change.incarnation + 1)
-            self.counts["refuted"] += change.boot == own.boot
-            if change.state is State.SUSPECT:
-                self.slow = min(MOST_SLOW, self.slow + 1)
-
-    def _renew(self, now: int, incarnation: int) -> None:
-        own = self.table.own
-        if incarnation > LAST_LIFE:  # only a member that lies leads there
-            self._event(now, "out of lives", own.name, str(incarnation))
+            self._raise_incarnation(now, update.incarnation + 1)
+            self.counts["refuted"] += update.boot_id == own.boot_id
+            if update.state is State.SUSPECT:
+                self.local_health_score = min(MAX_LOCAL_HEALTH_SCORE, self.local_health_score + 1)
+
+    def _raise_incarnation(self, now: int, incarnation: int) -> None:
+        own = self.table.own_update
+        if incarnation > MAX_INCARNATION:  # reachable only through forged incarnations
+            self._record_event(now, "out of lives", own.name, str(incarnation))
             return
-        change = replace_state(own, State.ALIVE)
-        self.table.put(msgspec.structs.replace(change, incarnation=incarnation), now, own.name)
-        self._spread(own.name)
+        update = with_state(own, State.ALIVE)
+        self.table.put(msgspec.structs.replace(update, incarnation=incarnation), now, own.name)
+        self._queue_broadcast(own.name)
 
-    # --- our own ---
+    # --- this member's own state ---
 
-    def adopt(self, now: int, build: bytes) -> None:
-        """Another configuration is in force here."""
-        own = self.table.own
+    def set_build(self, now: int, build: bytes) -> None:
+        """Announce another configuration, with a new incarnation."""
+        own = self.table.own_update
         if own.build != build:
             self.table.put(msgspec.structs.replace(own, build=build, incarnation=own.incarnation + 1), now, own.name)
-            self._spread(own.name)
+            self._queue_broadcast(own.name)
 
-    def doubt_ourselves(self, now: int) -> None:
-        """Datagrams were left unread here: silence proves nothing of others, and nobody is given up for it."""
-        self.slow = MOST_SLOW
-        self._deaf_until = now + int(DEAF_PERIODS * self.terms.period_us)
+    def record_overload(self, now: int) -> None:
+        """Suspend declarations of failure: datagrams were left unread here, so missing answers prove nothing."""
+        self.local_health_score = MAX_LOCAL_HEALTH_SCORE
+        self._no_failures_until_us = now + int(OVERLOAD_GRACE_PERIODS * self.config.period_us)
 
     def leave(self, now: int) -> None:
-        """We end in good order: said to a few, who tell it on."""
-        if self.yielded:
+        """Announce the orderly end of this member to a few others, who broadcast it."""
+        if self.has_lost_name:
             return
-        self.table.put(replace_state(self.table.own, State.LEFT), now, self.table.me)
-        others = list(self.table.others_here())
-        for member in self.random.sample(others, min(ASKED, len(others))):
-            self._send(unpack_address(member.told.address), Ack(0, self.table.own, self.table.view))
+        self.table.put(with_state(self.table.own_update, State.LEFT), now, self.table.own_name)
+        others = list(self.table.others_present())
+        for member in self.random.sample(others, min(INDIRECT_PROBES, len(others))):
+            self._send(unpack_address(member.update.address), Ack(0, self.table.own_update, self.table.view))
 
-    # --- what comes ---
+    # --- received messages ---
 
     def receive(self, now: int, source: Address, data: bytes) -> None:
-        if not self.admits(source):
+        """Handle one datagram; those that are dropped are counted by cause."""
+        if not self.accepts_from(source):
             self.counts["dropped: address"] += 1
             return
         try:
             message = self.codec.decode(data)
-        except Unreadable as error:
+        except InvalidDatagram as error:
             self.counts[f"dropped: {error}"] += 1
             return
-        if self.yielded:
+        if self.has_lost_name:
             return
         self.counts["received"] += 1
-        self._take(now, source, message)
+        self._handle(now, source, message)
 
-    def _take(self, now: int, source: Address, message: Message) -> None:
+    def _handle(self, now: int, source: Address, message: Message) -> None:
         if isinstance(message, Nack):
-            if self._probe is not None and self._probe.serial == message.serial:
+            if self._probe is not None and self._probe.sequence == message.sequence:
                 self._probe.nacks += 1
             return
-        if isinstance(message, Passed):
-            self._hear(now, message.of, message.of.name)
-            self._answered(now, message.serial)
+        if isinstance(message, ForwardedAck):
+            self._receive_update(now, message.responder, message.responder.name)
+            self._probe_answered(now, message.sequence)
             return
-        sender = self._met(now, message)
+        sender = self._receive_sender(now, message)
         if isinstance(message, Ping | Ack):
             if sender is not None:
-                sender.view, sender.view_us = message.view, now
+                sender.view, sender.view_received_us = message.view, now
                 if message.view != self.table.view:
-                    self._differs = message.me.name
-            for change in message.changes:
-                self._hear(now, change, message.me.name)
-            if self.terms.knows:
-                for saw in message.saw:
-                    self.board.hear(now, saw)
+                    self._differing_member = message.sender.name
+            for update in message.updates:
+                self._receive_update(now, update, message.sender.name)
+            if self.config.shares_evidence:
+                for observation in message.observations:
+                    self.evidence.receive(now, observation)
         if isinstance(message, Ping):
-            if message.to == self.table.me:
-                self._send(source, Ack(message.serial, self.table.own, self.table.view), self._amends(message.me))
+            if message.target == self.table.own_name:
+                self._send(
+                    source,
+                    Ack(message.sequence, self.table.own_update, self.table.view),
+                    self._corrections(message.sender),
+                )
         elif isinstance(message, Ack):
-            self._acked(now, message)
-        elif isinstance(message, Ask):
-            self._pass_on(now, source, message)
-        elif isinstance(message, Sums):
-            self._compared(now, source, message)
-        elif isinstance(message, Entries):
-            self._listed(now, source, message)
-
-    def _met(self, now: int, message: Ping | Ack | Ask | Sums | Entries) -> Member | None:
-        """Someone speaks for itself: nobody else's word on whether it is there counts more than that."""
-        me = message.me
-        if me.name == self.table.me:
-            self._hear_of_ourselves(now, me)
+            self._handle_ack(now, message)
+        elif isinstance(message, PingRequest):
+            self._handle_ping_request(now, source, message)
+        elif isinstance(message, ViewDigests):
+            self._handle_view_digests(now, source, message)
+        elif isinstance(message, ViewPart):
+            self._handle_view_part(now, source, message)
+
+    def _receive_sender(self, now: int, message: Ping | Ack | PingRequest | ViewDigests | ViewPart) -> Member | None:
+        """Apply the sender's update on itself, and return its entry of the table, if it has one."""
+        sender = message.sender
+        if sender.name == self.table.own_name:
+            self._receive_own_update(now, sender)
             return None
-        self._hear(now, me, me.name)
-        member = self.table.get(me.name)
+        self._receive_update(now, sender, sender.name)
+        member = self.table.get(sender.name)
         if member is not None:
-            member.heard_us = now
+            member.last_received_us = now
         return member
 
-    def _amends(self, sender: Change) -> list[Change]:
-        """What we believe of the sender, where it is more than it knows of itself: it will refute it."""
+    def _corrections(self, sender: MemberUpdate) -> list[MemberUpdate]:
+        """Return the known update on the sender if it supersedes the sender's own: the sender will refute it."""
         known = self.table.get(sender.name)
-        return [known.told] if known is not None and known.told.beats(sender) else []
-
-    def _acked(self, now: int, message: Ack) -> None:
-        row = self._passing.pop(message.serial, None)
-        if row is not None and row[2] == message.me.name:
-            self._send(row[1], Passed(row[0], message.me))
-        elif self._probe is not None and self._probe.name == message.me.name:
-            self._answered(now, message.serial)
-
-    def _pass_on(self, now: int, source: Address, message: Ask) -> None:
-        self._send(source, Nack(message.serial))
-        member = self.table.get(message.to)
-        if member is not None and len(self._passing) < MOST_PASSING:
-            self._serial += 1
-            self._passing[self._serial] = (message.serial, source, message.to, now)
-            self._ping(member.told, self._serial)
-
-    # --- views that differ ---
-
-    def _sums(self, answers: bool) -> Sums:
-        return Sums(self.table.own, self.table.view, self.table.parts, answers)
-
-    def _compare(self) -> None:
-        """With one that lately told another view, if there is any: else with whoever comes."""
-        other = self.table.get(self._differs)
-        if other is None or not other.here or other.view == self.table.view:
-            others = list(self.table.others_here())
+        return [known.update] if known is not None and known.update.supersedes(sender) else []
+
+    def _handle_ack(self, now: int, message: Ack) -> None:
+        row = self._forwarded_pings.pop(message.sequence, None)
+        if row is not None and row[2] == message.sender.name:
+            self._send(row[1], ForwardedAck(row[0], message.sender))
+        elif self._probe is not None and self._probe.target == message.sender.name:
+            self._probe_answered(now, message.sequence)
+
+    def _handle_ping_request(self, now: int, source: Address, message: PingRequest) -> None:
+        self._send(source, Nack(message.sequence))
+        member = self.table.get(message.target)
+        if member is not None and len(self._forwarded_pings) < MAX_FORWARDED_PINGS:
+            self._sequence += 1
+            self._forwarded_pings[self._sequence] = (message.sequence, source, message.target, now)
+            self._send_ping(member.update, self._sequence)
+
+    # --- anti-entropy ---
+
+    def _view_digests(self, is_reply: bool) -> ViewDigests:
+        return ViewDigests(self.table.own_update, self.table.view, self.table.part_digests, is_reply)
+
+    def _sync_view(self) -> None:
+        """Send digests to a member that lately reported another view, otherwise to a random member."""
+        other = self.table.get(self._differing_member)
+        if other is None or not other.is_present or other.view == self.table.view:
+            others = list(self.table.others_present())
             other = self.random.choice(others) if others else None
-        self._differs = ""
+        self._differing_member = ""
         if other is not None:
-            self._send(unpack_address(other.told.address), self._sums(False))
+            self._send(unpack_address(other.update.address), self._view_digests(False))
 
-    def _compared(self, now: int, source: Address, message: Sums) -> None:
-        sender = self.table.get(message.me.name)
+    def _handle_view_digests(self, now: int, source: Address, message: ViewDigests) -> None:
+        sender = self.table.get(message.sender.name)
         if sender is not None:
-            sender.view, sender.view_us = message.view, now
-        amends = self._amends(message.me)
-        if message.view == self.table.view or amends:
-            if not message.answers or amends:
-                self._send(source, Ack(0, self.table.own, self.table.view), amends)
+            sender.view, sender.view_received_us = message.view, now
+        corrections = self._corrections(message.sender)
+        if message.view == self.table.view or corrections:
+            if not message.is_reply or corrections:
+                self._send(source, Ack(0, self.table.own_update, self.table.view), corrections)
             return
-        self._sync_in = 0  # once more with the next period, until nobody is met who differs
-        if self._sums_left <= 0:
+        self._periods_to_sync = 0  # compare again in the next period, until no difference is found
+        if self._comparisons_left <= 0:
             self.counts["comparisons put off"] += 1
             return
-        self._sums_left -= 1
-        if not message.answers:
-            self._send(source, self._sums(True))
-        differing = self.table.differing(message.parts)
+        self._comparisons_left -= 1
+        if not message.is_reply:
+            self._send(source, self._view_digests(True))
+        differing = self.table.differing_parts(message.part_digests)
         for part in self.random.sample(differing, min(2, len(differing))):
-            self._send_part(source, part, want=True)
-
-    def _listed(self, now: int, source: Address, message: Entries) -> None:
-        for change in message.changes:
-            self._hear(now, change, message.me.name)
-        if message.want and self._sums_left > 0:
-            self._sums_left -= 1
-            self._send_part(source, message.part, want=False)
-
-    def _send_part(self, to: Address, part: int, want: bool) -> None:
-        """What we believe of some members of this part, drawn anew each time where one datagram can't hold all."""
-        message = Entries(self.table.own, part, want, [])
-        room = self.codec.room(message)
-        members = self.table.in_part(part)
+            self._send_view_part(source, part, wants_reply=True)
+
+    def _handle_view_part(self, now: int, source: Address, message: ViewPart) -> None:
+        for update in message.updates:
+            self._receive_update(now, update, message.sender.name)
+        if message.wants_reply and self._comparisons_left > 0:
+            self._comparisons_left -= 1
+            self._send_view_part(source, message.part, wants_reply=False)
+
+    def _send_view_part(self, destination: Address, part: int, wants_reply: bool) -> None:
+        """Send the updates on members of a part of the view: a random selection if one datagram can't hold all."""
+        message = ViewPart(self.table.own_update, part, wants_reply, [])
+        bytes_left = self.codec.bytes_left(message)
+        members = self.table.members_in_part(part)
         self.random.shuffle(members)
-        members.sort(key=lambda m: not m.here)
+        members.sort(key=lambda m: not m.is_present)
         for member in members:
-            room -= self.codec.size(member.told)
-            if room < 0:
+            bytes_left -= self.codec.encoded_size(member.update)
+            if bytes_left < 0:
                 break
-            message.changes.append(member.told)
-        self._send(to, message)
+            message.updates.append(member.update)
+        self._send(destination, message)
 
-    # --- telling on ---
+    # --- dissemination ---
 
-    def _spread(self, name: str) -> None:
-        self._news.pop(name, None)
-        self._news[name] = 0
-        while len(self._news) > MOST_NEWS:
-            del self._news[next(iter(self._news))]
+    def _queue_broadcast(self, name: str) -> None:
+        self._broadcasts.pop(name, None)
+        self._broadcasts[name] = 0
+        while len(self._broadcasts) > MAX_BROADCASTS:
+            del self._broadcasts[next(iter(self._broadcasts))]
 
-    def _send(self, to: Address, message: Message, first: Iterable[Change] = ()) -> None:
+    def _send(self, destination: Address, message: Message, first: Iterable[MemberUpdate] = ()) -> None:
         if isinstance(message, Ping | Ack):
-            self._fill(message, list(first))
-        self._out.append(Datagram(to, self.codec.encode(message)))
+            self._add_broadcasts(message, list(first))
+        self._outbox.append(Datagram(destination, self.codec.encode(message)))
         self.counts["sent"] += 1
 
-    def _fill(self, message: Ping | Ack, first: list[Change]) -> None:
-        """Put what is new into the room that is left: what was told least goes first."""
-        room = self.codec.room(message)
-        for change in first:
-            size = self.codec.size(change)
-            if size <= room:
-                room -= size
-                message.changes.append(change)
-        most = int(TELL * math.ceil(math.log2(self.table.here + 1))) or 1
-        said = {change.name for change in message.changes}
-        for name in heapq.nsmallest(2 * MOST_CHANGES, self._news, key=self._news.__getitem__):
+    def _add_broadcasts(self, message: Ping | Ack, first: list[MemberUpdate]) -> None:
+        """Fill the message with `first`, then with queued updates, the least sent first, then with observations."""
+        bytes_left = self.codec.bytes_left(message)
+        for update in first:
+            size = self.codec.encoded_size(update)
+            if size <= bytes_left:
+                bytes_left -= size
+                message.updates.append(update)
+        max_sent = int(RETRANSMIT_MULTIPLIER * math.ceil(math.log2(self.table.present_count + 1))) or 1
+        included = {update.name for update in message.updates}
+        for name in heapq.nsmallest(2 * MAX_UPDATES, self._broadcasts, key=self._broadcasts.__getitem__):
             member = self.table.get(name)
-            if member is None or name in said:
+            if member is None or name in included:
                 continue
-            size = self.codec.size(member.told)
-            if size > room or len(message.changes) >= MOST_CHANGES:
+            size = self.codec.encoded_size(member.update)
+            if size > bytes_left or len(message.updates) >= MAX_UPDATES:
                 break
-            room -= size
-            message.changes.append(member.told)
-            self._news[name] += 1
-        self._news = {name: told for name, told in self._news.items() if told < most}
-        if self.terms.knows:
-            self._fill_saw(message.saw, room)
-
-    def _fill_saw(self, saw: list[Saw], room: int) -> None:
-        for item in self.board.to_tell(max(1, self.table.here)):
-            room -= self.codec.size(item)
-            if room < 0 or len(saw) >= MOST_CHANGES:
+            bytes_left -= size
+            message.updates.append(member.update)
+            self._broadcasts[name] += 1
+        self._broadcasts = {name: sent for name, sent in self._broadcasts.items() if sent < max_sent}
+        if self.config.shares_evidence:
+            self._add_observations(message.observations, bytes_left)
+
+    def _add_observations(self, observations: list[Observation], bytes_left: int) -> None:
+        for observation in self.evidence.pending(max(1, self.table.present_count)):
+            bytes_left -= self.codec.encoded_size(observation)
+            if bytes_left < 0 or len(observations) >= MAX_UPDATES:
                 return
-            saw.append(item)
-            self.board.was_told(item)
+            observations.append(observation)
+            self.evidence.mark_sent(observation)
 
-    def _event(self, now: int, what: str, member: str, word: str) -> None:
-        self.events.append(Event(now, what, member, word))
-        self.counts[what] += 1
+    def _record_event(self, now: int, kind: str, member: str, detail: str) -> None:
+        self.events.append(Event(now, kind, member, detail))
+        self.counts[kind] += 1
 
 
-def replace_state(change: Change, state: State) -> Change:
-    return msgspec.structs.replace(change, state=state)
+def with_state(update: MemberUpdate, state: State) -> MemberUpdate:
+    """Return a copy of the update with another state."""
+    return msgspec.structs.replace(update, state=state)
 
 
-def described(member: Member, now: int) -> dict[str, Any]:
-    """One member as people read it."""
-    host, port = unpack_address(member.told.address)
+def describe_member(member: Member, now: int) -> dict[str, Any]:
+    """Return a member's row of `members.json`; times are ages in seconds."""
+    host, port = unpack_address(member.update.address)
     return {
-        "member": member.told.name,
+        "member": member.update.name,
         "address": f"{host}:{port}",
-        "incarnation": member.told.incarnation,
-        "state": member.told.state.name.lower(),
-        "build": member.told.build.hex(),
-        "since_s": round((now - member.since_us) / 1e6, 3),
-        "word": member.word,
-        "heard_s": round((now - member.heard_us) / 1e6, 3) if member.heard_us >= 0 else None,
+        "incarnation": member.update.incarnation,
+        "state": member.update.state.name.lower(),
+        "build": member.update.build.hex(),
+        "since_s": round((now - member.state_since_us) / 1e6, 3),
+        "word": member.reporter,
+        "heard_s": round((now - member.last_received_us) / 1e6, 3) if member.last_received_us >= 0 else None,
     }
--- a/standins/fleet/__init__.py
+++ b/standins/fleet/__init__.py
@@ -1,5 +1,5 @@
-"""Fleets of sidecars with faults between them: in virtual time over the pure protocol, and as processes on loopback.
+"""Test fleets of sidecars with faults between them: in virtual time over the protocol, and as processes on loopback.
 
-`faults.py` is what both do to links, `script.py` what is done when, `virtual.py` the one world, `relay.py` and `rig.py`
-the other.
+`faults.py` holds the faults of links and `script.py` the scripts of faults; both are shared. `virtual.py` runs fleets
+in virtual time; `relay.py` and `rig.py` run fleets of processes.
 """
--- a/standins/fleet/relay.py
+++ b/standins/fleet/relay.py
@@ -1,7 +1,9 @@
-"""Between processes: one socket for each member, at the address that the others know it by, and faults in between.
+"""A relay between member processes that injects faults.
 
-What a member sends to another arrives at the other's socket here, is told apart by the sender's own address, meets the
-faults of that direction and goes on from the sender's socket here: so each member sees the others where `peers` says.
+The relay has one socket for each member, whose address is the one that the other members know. A datagram to a member
+arrives at that member's socket here; the sender is identified by its own address, the faults of that direction are
+applied, and the datagram is sent on from the sender's socket here. Each member thus sees the others at their addresses
+in `peers`.
 """
 
 from __future__ import annotations
@@ -13,27 +15,27 @@
 from standins.fleet.faults import Faults
 
 Address = tuple[str, int]
-BUFFER = 1 << 20
+RECEIVE_BUFFER_BYTES = 1 << 20
 
 
 class Relay:
-    """Sockets for members 0 to count - 1."""
+    """Relay sockets for members 0 to count - 1."""
 
     def __init__(self, count: int, faults: Faults) -> None:
         self.faults = faults
-        self.carried: Counter[int] = Counter()  # datagrams, by sender
-        self.sockets = [_bound() for _ in range(count)]
+        self.datagrams_sent: Counter[int] = Counter()  # by sender
+        self.sockets = [_bound_socket() for _ in range(count)]
         self.addresses: list[Address] = [s.getsockname() for s in self.sockets]
-        self.homes: list[Address] = [_free() for _ in range(count)]  # where each member itself listens
-        self._numbers = {home: i for i, home in enumerate(self.homes)}
+        self.member_addresses: list[Address] = [_free_address() for _ in range(count)]  # where the processes listen
+        self._number_at = {address: i for i, address in enumerate(self.member_addresses)}
         self._loop = asyncio.get_running_loop()
-        for number, one in enumerate(self.sockets):
-            self._loop.add_reader(one, self._readable, number)
+        for number, sock in enumerate(self.sockets):
+            self._loop.add_reader(sock, self._readable, number)
 
     def close(self) -> None:
-        for one in self.sockets:
-            self._loop.remove_reader(one)
-            one.close()
+        for sock in self.sockets:
+            self._loop.remove_reader(sock)
+            sock.close()
 
     def _readable(self, receiver: int) -> None:
         for _ in range(64):
@@ -41,38 +43,38 @@
                 data, source = self.sockets[receiver].recvfrom(2048)
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError:  # a member that is gone refused what we sent it
+            except OSError:  # an earlier datagram reached no socket, since its receiver has ended
                 continue
-            sender = self._numbers.get(source)
+            sender = self._number_at.get(source)
             if sender is None:
                 continue
-            self.carried[sender] += 1
-            for late, arrived in self.faults.passage(sender, receiver, data):
-                if late > 0:
-                    self._loop.call_later(late, self._deliver, sender, receiver, arrived)
+            self.datagrams_sent[sender] += 1
+            for delay_s, arrived in self.faults.deliveries(sender, receiver, data):
+                if delay_s > 0:
+                    self._loop.call_later(delay_s, self._deliver, sender, receiver, arrived)
                 else:
                     self._deliver(sender, receiver, arrived)
 
     def _deliver(self, sender: int, receiver: int, data: bytes) -> None:
-        one = self.sockets[sender]
-        if one.fileno() < 0:
+        sock = self.sockets[sender]
+        if sock.fileno() < 0:
             return
         try:
-            one.sendto(data, self.homes[receiver])
-        except OSError:  # its buffer is full, or nobody is there: lost, as a datagram may be
+            sock.sendto(data, self.member_addresses[receiver])
+        except OSError:  # the buffer is full or the receiver has ended: the datagram is lost
             return
 
 
-def _bound() -> socket.socket:
-    one = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    one.setblocking(False)
-    one.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
-    one.bind(("127.0.0.1", 0))
-    return one
+def _bound_socket() -> socket.socket:
+    sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    sock.setblocking(False)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+    sock.bind(("127.0.0.1", 0))
+    return sock
 
 
-def _free() -> Address:
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as one:
-        one.bind(("127.0.0.1", 0))
-        found: Address = one.getsockname()
-        return found
+def _free_address() -> Address:
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
+        sock.bind(("127.0.0.1", 0))
+        address: Address = sock.getsockname()
+        return address
--- a/standins/fleet/script.py
+++ b/standins/fleet/script.py
@@ -1,11 +1,11 @@
-"""What is done to a fleet, and when: a small text, drawn from a seed, printed, edited and replayed in either world.
+"""Fault scripts for a fleet: text that is generated from a seed, and runs in virtual time or on processes.
 
-One step a line: when, in periods of the protocol since the fleet was settled; what; to whom; figures.
+One step a line: the time in protocol periods since the fleet settled, the action, the members, the parameters.
 
-    0 cut 0-7 8-23          both ways; `deaf 0-7 8-23` cuts what goes from the first to the second alone
-    20 kill 3               `start 3`, `leave 3`, `stop 4` (it stands still), `go 4`
+    0 cut 0-7 8-23          in both directions; `deaf 0-7 8-23` cuts only the direction from the first to the second
+    20 kill 3               `start 3`, `leave 3`, `stop 4` (suspend the process), `go 4` (resume it)
     30 link 0-23 loss=0.3 jitter=40
-    60 heal                 all links are sound; what is stopped stays so
+    60 heal                 removes all link faults; stopped members stay stopped
 """
 
 from __future__ import annotations
@@ -17,177 +17,184 @@
 
 from standins.fleet.faults import Link
 
-FIGURES = {"loss": "loss", "delay": "delay_ms", "jitter": "jitter_ms", "twice": "twice", "spoilt": "spoilt"}
-SIDES = {"cut": 2, "deaf": 2, "heal": 0}
+# Fields of `Link` by their names in scripts.
+LINK_PARAMETERS = {
+    "loss": "loss", "delay": "delay_ms", "jitter": "jitter_ms", "twice": "duplicated", "spoilt": "corrupted",
+}  # fmt: skip
+GROUP_COUNTS = {"cut": 2, "deaf": 2, "heal": 0}  # groups of members that an action takes, if not one
 ACTIONS = ("cut", "deaf", "heal", "kill", "start", "leave", "stop", "go", "link")
 
 
-class Stage(Protocol):
-    """A fleet that a script is played on."""
+class ScriptTarget(Protocol):
+    """A fleet that a script runs on."""
 
-    def cut(self, one: set[int], other: set[int], both: bool) -> None: ...
+    def cut(self, senders: set[int], receivers: set[int], both_ways: bool) -> None: ...
     def heal(self) -> None: ...
     def link(self, members: set[int], link: Link) -> None: ...
     def kill(self, number: int) -> None: ...
     def start(self, number: int) -> object: ...
     def leave(self, number: int) -> None: ...
     def stop(self, number: int) -> None: ...
-    def go_on(self, number: int) -> None: ...
+    def resume(self, number: int) -> None: ...
 
 
 @dataclass(frozen=True)
 class Step:
-    at: float  # periods
+    """One line of a script."""
+
+    at_periods: float
     action: str
-    sides: tuple[frozenset[int], ...] = ()
-    figures: tuple[tuple[str, float], ...] = field(default=())
+    groups: tuple[frozenset[int], ...] = ()
+    parameters: tuple[tuple[str, float], ...] = field(default=())
 
     def __str__(self) -> str:
-        words = [f"{self.at:g}", self.action, *map(_ranges, self.sides)]
-        return " ".join(words + [f"{name}={value:g}" for name, value in self.figures])
+        words = [f"{self.at_periods:g}", self.action, *map(_format_ranges, self.groups)]
+        return " ".join(words + [f"{name}={value:g}" for name, value in self.parameters])
 
-    def play(self, stage: Stage) -> None:
+    def apply(self, target: ScriptTarget) -> None:
         if self.action in ("cut", "deaf"):
-            stage.cut(set(self.sides[0]), set(self.sides[1]), self.action == "cut")
+            target.cut(set(self.groups[0]), set(self.groups[1]), self.action == "cut")
         elif self.action == "heal":
-            stage.heal()
+            target.heal()
         elif self.action == "link":
-            stage.link(set(self.sides[0]), Link(**{FIGURES[name]: value for name, value in self.figures}))
+            target.link(set(self.groups[0]), Link(**{LINK_PARAMETERS[name]: value for name, value in self.parameters}))
         else:
-            act = {
-                "kill": stage.kill, "start": stage.start, "leave": stage.leave, "stop": stage.stop, "go": stage.go_on,
+            action = {
+                "kill": target.kill, "start": target.start, "leave": target.leave, "stop": target.stop,
+                "go": target.resume,
             }[self.action]  # fmt: skip
-            for number in sorted(self.sides[0]):
-                act(number)
+            for number in sorted(self.groups[0]):
+                action(number)
 
 
-def _ranges(numbers: frozenset[int]) -> str:
-    """Numbers as people write them: 0-3,7."""
-    found: list[list[int]] = []
+def _format_ranges(numbers: frozenset[int]) -> str:
+    """Format numbers as ranges, such as 0-3,7."""
+    ranges: list[list[int]] = []
     for number in sorted(numbers):
-        if found and found[-1][1] == number - 1:
-            found[-1][1] = number
+        if ranges and ranges[-1][1] == number - 1:
+            ranges[-1][1] = number
         else:
-            found.append([number, number])
-    return ",".join(f"{a}-{b}" if a != b else f"{a}" for a, b in found)
+            ranges.append([number, number])
+    return ",".join(f"{a}-{b}" if a != b else f"{a}" for a, b in ranges)
 
 
-def _numbers(text: str) -> frozenset[int]:
-    found: set[int] = set()
+def _parse_ranges(text: str) -> frozenset[int]:
+    numbers: set[int] = set()
     for part in text.split(","):
         first, _, last = part.partition("-")
-        found.update(range(int(first), int(last or first) + 1))
-    return frozenset(found)
+        numbers.update(range(int(first), int(last or first) + 1))
+    return frozenset(numbers)
 
 
 def parse(text: str) -> list[Step]:
-    """Steps in order of time. Raises ValueError that names the line."""
+    """Return the steps of a script in order of time. Raises ValueError with the line that can't be read."""
     steps = []
     for number, line in enumerate(text.splitlines(), 1):
         words = line.partition("#")[0].split()
         if not words:
             continue
         try:
-            steps.append(_step(words))
+            steps.append(_parse_step(words))
         except (ValueError, IndexError, KeyError) as error:
             raise ValueError(f"line {number}: {line.strip()!r}: {error}") from None
-    return sorted(steps, key=lambda step: step.at)
+    return sorted(steps, key=lambda step: step.at_periods)
 
 
-def _step(words: list[str]) -> Step:
-    at, action, *rest = words
+def _parse_step(words: list[str]) -> Step:
+    at_periods, action, *rest = words
     if action not in ACTIONS:
-        raise ValueError(f"{action} is none of {', '.join(ACTIONS)}")
-    sides = [word for word in rest if "=" not in word]
-    if len(sides) != SIDES.get(action, 1):
-        raise ValueError(f"{action} takes {SIDES.get(action, 1)} groups of members")
-    figures = []
+        raise ValueError(f"{action} is not one of {', '.join(ACTIONS)}")
+    groups = [word for word in rest if "=" not in word]
+    if len(groups) != GROUP_COUNTS.get(action, 1):
+        raise ValueError(f"{action} takes {GROUP_COUNTS.get(action, 1)} groups of members")
+    parameters = []
     for word in rest:
         name, sign, value = word.partition("=")
         if sign:
-            if action != "link" or name not in FIGURES:
-                raise ValueError(f"{name} is no figure of {action}")
-            figures.append((name, float(value)))
-    return Step(float(at), action, tuple(_numbers(side) for side in sides), tuple(figures))
+            if action != "link" or name not in LINK_PARAMETERS:
+                raise ValueError(f"{name} is not a parameter of {action}")
+            parameters.append((name, float(value)))
+    return Step(float(at_periods), action, tuple(_parse_ranges(group) for group in groups), tuple(parameters))
 
 
-def last_at(steps: list[Step]) -> float:
-    return max((step.at for step in steps), default=0.0)
+def last_step_at(steps: list[Step]) -> float:
+    """Return the time of the last step, in periods."""
+    return max((step.at_periods for step in steps), default=0.0)
 
 
-# --- drawn from a seed ---
+# --- scripts generated from a seed ---
 
 
-def _third(chance: random.Random, n: int) -> list[Step]:
-    """A cut of one third for 60 periods, with crashes and a join on both sides meanwhile."""
+def _third(rng: random.Random, n: int) -> list[Step]:
+    """Cuts off one third of the members for 60 periods, with crashes and a restart on both sides meanwhile."""
     members = list(range(n))
-    chance.shuffle(members)
-    one, other = members[: n // 3], members[n // 3 :]
-    dead = [one[0], *other[:2]]
+    rng.shuffle(members)
+    minority, majority = members[: n // 3], members[n // 3 :]
+    killed = [minority[0], *majority[:2]]
     return [
-        Step(0, "cut", (frozenset(one), frozenset(other))),
-        *(Step(chance.uniform(5, 25), "kill", (frozenset((m,)),)) for m in dead),
-        *(Step(chance.uniform(30, 50), "start", (frozenset((m,)),)) for m in dead[1:]),
+        Step(0, "cut", (frozenset(minority), frozenset(majority))),
+        *(Step(rng.uniform(5, 25), "kill", (frozenset((m,)),)) for m in killed),
+        *(Step(rng.uniform(30, 50), "start", (frozenset((m,)),)) for m in killed[1:]),
         Step(60, "heal"),
     ]
 
 
-def _one_way(chance: random.Random, n: int) -> list[Step]:
-    """What some say does not reach the others, who are heard themselves."""
+def _one_way(rng: random.Random, n: int) -> list[Step]:
+    """Drops the datagrams from a quarter of the members to the others, but not those in the other direction."""
     members = list(range(n))
-    chance.shuffle(members)
-    cut = max(1, n // 4)
-    return [Step(0, "deaf", (frozenset(members[:cut]), frozenset(members[cut:]))), Step(50, "heal")]
+    rng.shuffle(members)
+    count = max(1, n // 4)
+    return [Step(0, "deaf", (frozenset(members[:count]), frozenset(members[count:]))), Step(50, "heal")]
 
 
-def _ring(chance: random.Random, n: int) -> list[Step]:
-    """Each is cut off from the next two: no two have the same reach."""
+def _ring(rng: random.Random, n: int) -> list[Step]:
+    """Cuts each member off from the next two, so that no two members reach the same set of others."""
     steps = [Step(0, "cut", (frozenset((i,)), frozenset(((i + 1) % n, (i + 2) % n)))) for i in range(n)]
     return [*steps, Step(50, "heal")]
 
 
-def _loss(chance: random.Random, n: int) -> list[Step]:
+def _loss(rng: random.Random, n: int) -> list[Step]:
     everyone = frozenset(range(n))
     return [Step(0, "link", (everyone,), (("loss", 0.3),)), Step(120, "heal")]
 
 
-def _noise(chance: random.Random, n: int) -> list[Step]:
-    """Late, twice, out of order and spoilt."""
-    figures = (("loss", 0.05), ("delay", 10.0), ("jitter", 60.0), ("twice", 0.1), ("spoilt", 0.05))
-    return [Step(0, "link", (frozenset(range(n)),), figures), Step(60, "heal")]
+def _noise(rng: random.Random, n: int) -> list[Step]:
+    """Delays, reorders, duplicates, corrupts and loses datagrams."""
+    parameters = (("loss", 0.05), ("delay", 10.0), ("jitter", 60.0), ("twice", 0.1), ("spoilt", 0.05))
+    return [Step(0, "link", (frozenset(range(n)),), parameters), Step(60, "heal")]
 
 
-def _stall(chance: random.Random, n: int) -> list[Step]:
-    one = frozenset((chance.randrange(n),))
-    return [Step(0, "stop", (one,)), Step(40, "go", (one,))]
+def _stall(rng: random.Random, n: int) -> list[Step]:
+    member = frozenset((rng.randrange(n),))
+    return [Step(0, "stop", (member,)), Step(40, "go", (member,))]
 
 
-def _half(chance: random.Random, n: int) -> list[Step]:
-    """Half are killed at once and back at once under the same names."""
-    half = frozenset(chance.sample(range(n), n // 2))
+def _half(rng: random.Random, n: int) -> list[Step]:
+    """Kills half of the members at once and restarts them one period later under the same names."""
+    half = frozenset(rng.sample(range(n), n // 2))
     return [Step(0, "kill", (half,)), Step(1, "start", (half,))]
 
 
-def _rolling(chance: random.Random, n: int) -> list[Step]:
+def _rolling(rng: random.Random, n: int) -> list[Step]:
     steps = []
     for i in range(n):
         steps += [Step(4 * i, "leave", (frozenset((i,)),)), Step(4 * i + 6, "start", (frozenset((i,)),))]
     return steps
 
 
-def _flap(chance: random.Random, n: int) -> list[Step]:
-    """One member's links come and go every two periods."""
-    one = chance.randrange(n)
-    rest = frozenset(range(n)) - {one}
+def _flap(rng: random.Random, n: int) -> list[Step]:
+    """Cuts off one member and heals the links again, every two periods."""
+    member = rng.randrange(n)
+    others = frozenset(range(n)) - {member}
     steps = []
     for at in range(0, 40, 4):
-        steps += [Step(at, "cut", (frozenset((one,)), rest)), Step(at + 2, "heal")]
+        steps += [Step(at, "cut", (frozenset((member,)), others)), Step(at + 2, "heal")]
     return steps
 
 
-def _crash(chance: random.Random, n: int) -> list[Step]:
-    dead = frozenset(chance.sample(range(n), max(1, n // 6)))
-    return [Step(0, "kill", (dead,))]
+def _crash(rng: random.Random, n: int) -> list[Step]:
+    killed = frozenset(rng.sample(range(n), max(1, n // 6)))
+    return [Step(0, "kill", (killed,))]
 
 
 KINDS: dict[str, Callable[[random.Random, int], list[Step]]] = {
@@ -197,5 +204,5 @@
 
 
 def draw(kind: str, seed: int, members: int) -> list[Step]:
-    """A script of one kind: the same for the same seed."""
-    return sorted(KINDS[kind](random.Random(seed), members), key=lambda step: step.at)
+    """Return a script of one kind; equal for equal seeds."""
+    return sorted(KINDS[kind](random.Random(seed), members), key=lambda step: step.at_periods)
--- a/tests/fleet/test_files.py
+++ b/tests/fleet/test_files.py
@@ -1,4 +1,4 @@
-"""The operator's table, what is written down, and the command that reads it."""
+"""The operator's table `[fleet]`, the files that a member writes, and the command that reads them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from eiderhub.cli import main
 from eiderhub.config.load import Examined, Source, examine
-from eiderhub.fleet.event_log import EVENTS, MEMBERS, MOST_BYTES, Journal
+from eiderhub.fleet.event_log import EVENTS_FILE, MAX_FILE_BYTES, MEMBERS_FILE, EventLog
 from eiderhub.sidecar.config import needs_restart
 from tests.sidecar_support import SETUP, listing, row
 
@@ -35,15 +35,15 @@
     return [error.code for error in examined.errors]
 
 
-def test_the_platforms_own_peers_are_enough() -> None:
+def test_the_platforms_peers_are_the_default() -> None:
     examined = read("[fleet]\n")
     assert examined.config is not None, examined.errors
     options = examined.config.fleet
     assert (options.listen, options.address) == (("127.0.0.1", 7946), ("127.0.0.3", 7946))
-    assert options.terms.contacts == (("127.0.0.2", 7946), ("127.0.0.3", 7946))
+    assert options.config.contacts == (("127.0.0.2", 7946), ("127.0.0.3", 7946))
 
 
-def test_what_is_off_is_not_there() -> None:
+def test_without_the_table_the_fleet_is_not_imported() -> None:
     examined = read("")
     assert examined.config is not None and examined.config.fleet is None
     code = "import sys, eiderhub.sidecar.__main__; print([m for m in sys.modules if 'fleet' in m or m == 'msgspec'])"
@@ -63,11 +63,11 @@
         ("[fleet]\nperiods = 3\n", {}, "unknown-key"),
     ],
 )
-def test_what_would_not_start_is_found(operator: str, changes: dict[str, Any], code: str) -> None:
+def test_a_configuration_that_would_not_start_is_an_error(operator: str, changes: dict[str, Any], code: str) -> None:
     assert code in codes(read(operator, **changes))
 
 
-def test_a_key_that_is_too_short_is_refused(tmp_path: Path) -> None:
+def test_a_key_that_is_too_short_is_an_error(tmp_path: Path) -> None:
     key = tmp_path / "key"
     key.write_bytes(b"short")
     operator = f'[fleet]\nkey-file = "{key}"\n'
@@ -76,7 +76,7 @@
     assert read(operator).config is not None
 
 
-def test_the_build_names_the_rules_and_not_the_member() -> None:
+def test_the_build_is_equal_for_all_members_with_one_configuration() -> None:
     first = read("[fleet]\n").config
     other = read("[fleet]\n", settings={**DOCUMENT["settings"], "Rank": 0}).config
     changed = read('[fleet]\n[[routes]]\nname = "a"\nclass = "look"\npath = "/look/x"\n').config
@@ -87,7 +87,7 @@
     assert slower is not None and needs_restart(first, slower) == ["fleet"]
 
 
-def table() -> dict[str, Any]:
+def members_document() -> dict[str, Any]:
     def member(name: str, state: str) -> dict[str, Any]:
         return {
             "member": name, "address": "127.0.0.2:1", "incarnation": 7, "state": state, "build": "ab", "since_s": 1.5,
@@ -101,45 +101,45 @@
     }  # fmt: skip
 
 
-def test_the_command_tells_members_and_what_befell_one(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    journal = Journal(str(tmp_path))
-    journal.line(t=1.25, n="n1", event="suspect", member="n2", word="n9")
-    journal.line(t=2.0, n="n1", event="alive", member="n3", word="n3")
-    journal.members(table())
-    journal.flush()
+def test_the_command_shows_members_and_the_events_of_one(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    event_log = EventLog(str(tmp_path))
+    event_log.append(t=1.25, n="n1", event="suspect", member="n2", word="n9")
+    event_log.append(t=2.0, n="n1", event="alive", member="n3", word="n3")
+    event_log.set_members(members_document())
+    event_log.flush()
     assert main(["fleet", "members", str(tmp_path)]) == 0
-    told = capsys.readouterr().out
-    assert "1 of 3 hold it (no majority)" in told and told.index("n1 ") < told.index("n2 ")
+    output = capsys.readouterr().out
+    assert "1 of 3 hold it (no majority)" in output and output.index("n1 ") < output.index("n2 ")
     assert main(["fleet", "explain", str(tmp_path), "n2"]) == 0
-    told = capsys.readouterr().out
-    assert "is gone for 1.5 s by the word of n9" in told
-    assert "00:00:01.250 suspect member=n2 word=n9" in told and "n3" not in told
+    output = capsys.readouterr().out
+    assert "has been gone for 1.5 s, reported by n9" in output
+    assert "00:00:01.250 suspect member=n2 word=n9" in output and "n3" not in output
     assert main(["fleet", "watch", str(tmp_path), "--seconds", "0"]) == 0
     assert len(capsys.readouterr().out.splitlines()) == 2
     assert main(["fleet", "explain", str(tmp_path), "n7"]) == 1
     assert main(["fleet", "members", str(tmp_path / "nowhere")]) == 2
-    (tmp_path / MEMBERS).write_text("{")
+    (tmp_path / MEMBERS_FILE).write_text("{")
     assert main(["fleet", "members", str(tmp_path)]) == 2
-    assert "no JSON" in capsys.readouterr().err
+    assert "not valid JSON" in capsys.readouterr().err
 
 
-def test_the_file_of_events_stays_bounded_and_a_folder_that_fails_loses_lines_alone(
+def test_the_file_of_events_is_bounded_and_a_failing_folder_only_loses_lines(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    journal = Journal(str(tmp_path / "f"))
+    event_log = EventLog(str(tmp_path / "f"))
     for _ in range(12):
         for _ in range(500):
-            journal.line(event="x" * 200)
-        journal.flush()
+            event_log.append(event="x" * 200)
+        event_log.flush()
     sizes = [path.stat().st_size for path in (tmp_path / "f").iterdir()]
-    assert len(sizes) == 2 and max(sizes) < 2 * MOST_BYTES
-    assert (tmp_path / "f" / EVENTS).exists()
+    assert len(sizes) == 2 and max(sizes) < 2 * MAX_FILE_BYTES
+    assert (tmp_path / "f" / EVENTS_FILE).exists()
     (tmp_path / "file").write_text("")
-    broken = Journal(str(tmp_path / "file"))
+    broken = EventLog(str(tmp_path / "file"))
     for _ in range(3):
-        broken.line(event="lost")
+        broken.append(event="lost")
         broken.flush()
     assert broken.dropped == 3 and len(caplog.records) == 1
     for _ in range(2000):
-        broken.line(event="waits")
+        broken.append(event="waits")
     assert broken.dropped > 1000
--- a/tests/fleet/test_messages.py
+++ b/tests/fleet/test_messages.py
@@ -1,4 +1,4 @@
-"""The wire: everything fits, comes back as it was, and what does not is told apart by why."""
+"""The wire format: messages fit and survive a round trip, and datagrams that can't be read are counted by cause."""
 
 from __future__ import annotations
 
@@ -10,102 +10,104 @@
 from hypothesis import strategies as st
 
 from eiderhub.fleet.messages import (
-    MOST,
+    MAX_DATAGRAM_BYTES,
     Ack,
-    Change,
     Codec,
-    Entries,
+    InvalidDatagram,
+    MemberUpdate,
     Message,
     Nack,
     Ping,
     State,
-    Sums,
-    Unreadable,
+    ViewDigests,
+    ViewPart,
     pack_address,
     unpack_address,
 )
 
 KEY = b"k" * 32
-CHANGES = st.builds(
-    Change,
+UPDATES = st.builds(
+    MemberUpdate,
     name=st.text(min_size=1, max_size=12),
     address=st.binary(min_size=6, max_size=6),
     incarnation=st.integers(0, (1 << 48) - 1),
     state=st.sampled_from(State),
-    boot=st.integers(0, (1 << 32) - 1),
+    boot_id=st.integers(0, (1 << 32) - 1),
     build=st.binary(max_size=8),
-    by=st.binary(max_size=4),
+    suspector=st.binary(max_size=4),
 )
-WIDEST = Change("n" * 24, b"\xff" * 6, (1 << 48) - 1, State.GONE, (1 << 32) - 1, b"b" * 8, b"b" * 4)
+LONGEST = MemberUpdate("n" * 24, b"\xff" * 6, (1 << 48) - 1, State.GONE, (1 << 32) - 1, b"b" * 8, b"b" * 4)
 
 
-@given(me=CHANGES, changes=st.lists(CHANGES, max_size=2), serial=st.integers(0, (1 << 32) - 1))
-def test_what_is_sent_comes_back(me: Change, changes: list[Change], serial: int) -> None:
+@given(sender=UPDATES, updates=st.lists(UPDATES, max_size=2), sequence=st.integers(0, (1 << 32) - 1))
+def test_messages_survive_a_round_trip(sender: MemberUpdate, updates: list[MemberUpdate], sequence: int) -> None:
     codec = Codec(KEY)
-    ping = Ping(serial, me.name, me, b"v" * 8, changes)
-    messages: list[Message] = [ping, Nack(serial), Entries(me, 3, True, changes)]
+    ping = Ping(sequence, sender.name, sender, b"v" * 8, updates)
+    messages: list[Message] = [ping, Nack(sequence), ViewPart(sender, 3, True, updates)]
     for message in messages:
-        if codec.room(message) >= 0:
+        if codec.bytes_left(message) >= 0:
             assert codec.decode(codec.encode(message)) == message
 
 
 @pytest.mark.parametrize("key", [None, KEY])
-def test_the_longest_of_each_kind_fits(key: bytes | None) -> None:
+def test_the_longest_message_of_each_kind_fits(key: bytes | None) -> None:
     codec = Codec(key)
     messages: list[Message] = [
-        Ping((1 << 32) - 1, WIDEST.name, WIDEST, b"v" * 8), Ack((1 << 32) - 1, WIDEST, b"v" * 8),
-        Sums(WIDEST, b"v" * 8, b"p" * 64, True), Entries(WIDEST, 15, True, [WIDEST]),
+        Ping((1 << 32) - 1, LONGEST.name, LONGEST, b"v" * 8), Ack((1 << 32) - 1, LONGEST, b"v" * 8),
+        ViewDigests(LONGEST, b"v" * 8, b"p" * 64, True), ViewPart(LONGEST, 15, True, [LONGEST]),
     ]  # fmt: skip
     for message in messages:
-        assert len(codec.encode(message)) <= MOST
-    assert codec.room(Ping((1 << 32) - 1, WIDEST.name, WIDEST, b"v" * 8)) >= codec.size(WIDEST)
+        assert len(codec.encode(message)) <= MAX_DATAGRAM_BYTES
+    assert codec.bytes_left(Ping((1 << 32) - 1, LONGEST.name, LONGEST, b"v" * 8)) >= codec.encoded_size(LONGEST)
 
 
 @pytest.mark.parametrize(
-    ("spoil", "why"),
+    ("corrupt", "cause"),
     [
         (lambda data: b"\x70" + data[1:], "version"),
         (lambda data: data[:1], "version"),
-        (lambda data: data + b"x" * MOST, "oversize"),
+        (lambda data: data + b"x" * MAX_DATAGRAM_BYTES, "oversize"),
         (lambda data: data[:-1] + bytes((data[-1] ^ 1,)), "key"),
         (lambda data: Codec(b"other key, as long").encode(Nack(1)), "key"),
     ],
 )
-def test_what_can_not_be_read_is_told_apart(spoil, why: str) -> None:  # type: ignore[no-untyped-def]
+def test_datagrams_that_can_not_be_read_have_a_cause(corrupt, cause: str) -> None:  # type: ignore[no-untyped-def]
     codec = Codec(KEY)
-    with pytest.raises(Unreadable, match=why):
-        codec.decode(spoil(codec.encode(Nack(7))))
+    with pytest.raises(InvalidDatagram, match=cause):
+        codec.decode(corrupt(codec.encode(Nack(7))))
 
 
-@given(st.binary(max_size=MOST))
-def test_noise_is_malformed_or_harmless(noise: bytes) -> None:
+@given(st.binary(max_size=MAX_DATAGRAM_BYTES))
+def test_random_bytes_are_malformed_or_a_message(noise: bytes) -> None:
     codec = Codec(None)
-    body = noise[: MOST - codec.head]
-    sound = b"\x71" + hashlib.blake2b(body, digest_size=codec.head - 1).digest() + body
+    body = noise[: MAX_DATAGRAM_BYTES - codec.header_bytes]
+    datagram = b"\x71" + hashlib.blake2b(body, digest_size=codec.header_bytes - 1).digest() + body
     try:
-        message = codec.decode(sound)
-    except Unreadable as error:
+        message = codec.decode(datagram)
+    except InvalidDatagram as error:
         assert str(error) in ("malformed", "version")
         return
     assert isinstance(msgspec.to_builtins(message), list)
 
 
-@given(me=CHANGES, bit=st.integers(8, 8 * MOST - 1))
-def test_no_spoilt_bit_gets_through_without_a_key(me: Change, bit: int) -> None:
-    """Found on processes: a name with one bit turned lived on as a member that nobody could end."""
+@given(sender=UPDATES, bit=st.integers(8, 8 * MAX_DATAGRAM_BYTES - 1))
+def test_no_flipped_bit_is_accepted_without_a_key(sender: MemberUpdate, bit: int) -> None:
+    """A name with one flipped bit would be a further member, which no process refutes or ends."""
     codec = Codec(None)
-    data = bytearray(codec.encode(Sums(me, b"v" * 8, b"p" * 64, False)))
+    data = bytearray(codec.encode(ViewDigests(sender, b"v" * 8, b"p" * 64, False)))
     data[bit // 8 % len(data) or 1] ^= 1 << bit % 8
-    with pytest.raises(Unreadable, match="spoilt"):
+    with pytest.raises(InvalidDatagram, match="spoilt"):
         codec.decode(bytes(data))
 
 
-@given(CHANGES, CHANGES)
-def test_of_two_words_on_one_member_one_beats_the_other_unless_they_say_the_same(a: Change, b: Change) -> None:
-    same = msgspec.structs.replace(a, name=b.name, by=b.by) == b
-    assert a.beats(b) + b.beats(a) == (not same)
+@given(UPDATES, UPDATES)
+def test_of_two_updates_on_one_member_one_supersedes_the_other_unless_they_are_equal(
+    a: MemberUpdate, b: MemberUpdate
+) -> None:
+    equal = msgspec.structs.replace(a, name=b.name, suspector=b.suspector) == b
+    assert a.supersedes(b) + b.supersedes(a) == (not equal)
 
 
 @given(st.ip_addresses(v=4), st.integers(0, 65535))
-def test_addresses_come_back(host, port: int) -> None:  # type: ignore[no-untyped-def]
+def test_addresses_survive_a_round_trip(host, port: int) -> None:  # type: ignore[no-untyped-def]
     assert unpack_address(pack_address(str(host), port)) == (str(host), port)
--- a/tests/fleet/test_rig.py
+++ b/tests/fleet/test_rig.py
@@ -1,4 +1,4 @@
-"""Several processes of the real program, with faults between them. Long plays stand in benchmarks/fleet."""
+"""Fleets of sidecar processes with faults between them. Longer scripts run in benchmarks/fleet."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 import pytest
 
-from benchmarks.fleet.__main__ import false_deaths
-from eiderhub.fleet.messages import Change, Codec, Entries, State, pack_address
+from benchmarks.fleet.__main__ import false_failures
+from eiderhub.fleet.messages import Codec, MemberUpdate, State, ViewPart, pack_address
 from standins.callers import Callers, Kind
 from standins.discovery import row
 from standins.endpoint import Behaviour, Endpoint, Ledger
@@ -24,7 +24,7 @@
 KIND = Kind("GET", "/look/part", 2_000)
 
 
-def play(test: Callable[[], Awaitable[None]]) -> None:
+def run(test: Callable[[], Awaitable[None]]) -> None:
     async def bounded() -> None:
         async with asyncio.timeout(60):
             await test()
@@ -41,12 +41,12 @@
             await rig.settle()
             rig.write_timeline(tmp_path / "timeline.jsonl")
 
-    play(test)
+    run(test)
     assert '"event": "step"' in (tmp_path / "timeline.jsonl").read_text()
 
 
-def test_heavy_loss_between_processes_kills_nobody_for_long() -> None:
-    """Three in ten datagrams are lost for 120 periods; who is given up wrongly is taken back within 40."""
+def test_false_failures_under_heavy_loss_between_processes_are_refuted_soon() -> None:
+    """30% of all datagrams are lost for 120 periods; false failures are refuted within 40 periods."""
 
     async def test() -> None:
         async with Rig(8, 5, 2 * PERIOD_S) as rig:
@@ -54,23 +54,23 @@
             since, steps = time.time(), draw("loss", 5, 8)
             await rig.play(steps)
             await rig.settle()
-            assert rig.events("suspect", since)  # the loss was felt
-            assert false_deaths(rig, steps, since)[1] == 0
+            assert rig.events("suspect", since)  # the loss had an effect
+            assert false_failures(rig, steps, since)[1] == 0
 
-    play(test)
+    run(test)
 
 
-def test_a_process_that_was_stopped_doubts_itself_and_not_the_rest() -> None:
+def test_a_process_that_was_stopped_records_a_stall_and_declares_nobody_failed() -> None:
     async def test() -> None:
         async with Rig(5, 1, PERIOD_S) as rig:
             await rig.settle()
             await rig.play(parse("0 stop 2\n60 go 2"))
-            begun = rig.last_fault
-            await rig.until(lambda: bool(rig.events("stalled", begun)), "stalled")
+            since = rig.last_fault
+            await rig.until(lambda: bool(rig.events("stalled", since)), "stalled")
             await rig.settle()
-            assert not [row for _, source, row in rig.events("gone", begun) if source == "n2"]
+            assert not [row for _, source, row in rig.events("gone", since) if source == "n2"]
 
-    play(test)
+    run(test)
 
 
 def test_a_clock_an_hour_ahead_and_a_lossy_link_do_no_harm() -> None:
@@ -84,10 +84,10 @@
             await rig.play(parse("0 kill 3\n1 start 3"))
             await rig.settle()
 
-    play(test)
+    run(test)
 
 
-def test_two_groups_with_a_key_become_one_through_one_contact(tmp_path: Path) -> None:
+def test_two_groups_with_a_key_merge_through_one_contact(tmp_path: Path) -> None:
     key = tmp_path / "key"
     key.write_text("0123456789abcdef" * 2)
     contacts = {0: [1, 2], 1: [0, 2], 2: [0, 1], 3: [4, 5], 4: [3, 5], 5: [3, 4]}
@@ -95,15 +95,15 @@
     async def test() -> None:
         options = {"introduced": "true", "key-file": f'"{key}"'}
         async with Rig(6, 1, PERIOD_S, options=options, contacts=contacts) as rig:
-            await rig.until(lambda: all(m.here == 3 for m in rig.members), "two groups of three")
+            await rig.until(lambda: all(m.present_count == 3 for m in rig.members), "two groups of three")
             rig.contacts = {**contacts, 2: [0, 1, 4]}
             await rig.play(parse("0 kill 2\n1 start 2"))
             await rig.settle()
 
-    play(test)
+    run(test)
 
 
-def test_a_joiner_whose_only_contact_dies_meanwhile_gets_in(tmp_path: Path) -> None:
+def test_a_joiner_whose_only_contact_dies_after_the_first_exchange_joins(tmp_path: Path) -> None:
     key = tmp_path / "key"
     key.write_text("0123456789abcdef" * 2)
 
@@ -112,47 +112,50 @@
         async with Rig(5, 1, PERIOD_S, options=options, contacts={4: [0]}) as rig:
             await rig.settle()
             await rig.play(parse("0 kill 4\n30 start 4"))
-            begun = rig.last_fault
-            await rig.until(lambda: any(s == "n4" and r["here"] > 1 for _, s, r in rig.events("view", begun)), "met")
+            since = rig.last_fault
+            await rig.until(lambda: any(s == "n4" and r["here"] > 1 for _, s, r in rig.events("view", since)), "joined")
             await rig.play(parse("0 kill 0"))
             await rig.settle()
 
-    play(test)
+    run(test)
 
 
-def test_a_group_of_one_is_settled_and_alone() -> None:
+def test_a_single_process_settles() -> None:
     async def test() -> None:
         async with Rig(1, 1, PERIOD_S) as rig:
             await rig.settle()
-            assert rig.members[0].here == 1
+            assert rig.members[0].present_count == 1
 
-    play(test)
+    run(test)
 
 
-def test_a_liar_that_says_all_are_dead_ends_nobody() -> None:
-    """Words in another's name, twenty times a second, of everyone's death: each refutes them."""
+def test_forged_failures_of_all_members_are_refuted() -> None:
+    """Forged datagrams declare all members failed, twenty times a second; each member refutes them."""
 
     async def test() -> None:
         async with Rig(5, 1, PERIOD_S) as rig:
             await rig.settle()
             codec = Codec(None)
-            lives = {source: row["incarnation"] for _, source, row in rig.events("start")}
-            homes = [pack_address(*address) for address in rig.relay.addresses]
-            me = Change("n1", homes[1], lives["n1"], State.ALIVE, 0, b"")
-            for again in range(20):
+            incarnations = {source: row["incarnation"] for _, source, row in rig.events("start")}
+            addresses = [pack_address(*address) for address in rig.relay.addresses]
+            sender = MemberUpdate("n1", addresses[1], incarnations["n1"], State.ALIVE, 0, b"")
+            for round_number in range(20):
                 for target in (0, 2, 3, 4):
-                    dead = [Change(f"n{i}", homes[i], lives[f"n{i}"] + again, State.GONE, 0, b"") for i in (0, 2, 3, 4)]
-                    for one in dead:
-                        lie = codec.encode(Entries(me, 0, False, [one]))
-                        rig.relay.sockets[1].sendto(lie, rig.relay.homes[target])
+                    failures = [
+                        MemberUpdate(f"n{i}", addresses[i], incarnations[f"n{i}"] + round_number, State.GONE, 0, b"")
+                        for i in (0, 2, 3, 4)
+                    ]
+                    for failure in failures:
+                        forged = codec.encode(ViewPart(sender, 0, False, [failure]))
+                        rig.relay.sockets[1].sendto(forged, rig.relay.member_addresses[target])
                 await asyncio.sleep(PERIOD_S)
             rig.last_fault = time.time()
             await rig.settle()
 
-    play(test)
+    run(test)
 
 
-def test_a_new_configuration_shows_in_the_view() -> None:
+def test_a_new_configuration_changes_the_view() -> None:
     async def test() -> None:
         async with Rig(3, 1, PERIOD_S) as rig:
             await rig.settle()
@@ -165,44 +168,45 @@
             process.send_signal(signal.SIGHUP)
             await rig.until(lambda: rig.settled() and rig.members[0].view != before, "another view")
 
-    play(test)
+    run(test)
 
 
-def test_evidence_keeps_a_quiet_process_from_what_fails_for_others() -> None:
-    """Two processes call much, and one a little: it hears of the endpoint that fails fast."""
+def test_evidence_reaches_a_process_without_calls() -> None:
+    """Two processes call an endpoint that fails fast; the third lowers its share without a call of its own."""
 
     async def test() -> None:
         ledger = Ledger()
         behaviours = [Behaviour() for _ in range(8)]
         behaviours[0].error_rate = 1.0
 
-        endpoints = [await Endpoint(ledger, b, random.Random(1)).start() for b in behaviours]
+        endpoints = [await Endpoint(ledger, behaviour, random.Random(1)).start() for behaviour in behaviours]
         rows = [row(f"s-{i}", endpoint.address) for i, endpoint in enumerate(endpoints)]
         async with Rig(3, 1, PERIOD_S, rows) as rig:
             await rig.settle()
             callers = [Callers("127.0.0.1", rig.members[i].port, "acme") for i in (0, 1)]
-            await asyncio.gather(*(one.run([KIND], 100, 1.0) for one in callers))
-            await rig.until(lambda: any(source == "n2" for _, source, _ in rig.events("hearsay")), "heard")
+            await asyncio.gather(*(caller.run([KIND], 100, 1.0) for caller in callers))
+            await rig.until(lambda: any(source == "n2" for _, source, _ in rig.events("hearsay")), "evidence received")
             assert {row["endpoint"] for _, _, row in rig.events("hearsay")} == {"s-0"}
-            for one in callers:
-                one.close()
+            for caller in callers:
+                caller.close()
         for endpoint in endpoints:
             endpoint.stop()
 
-    play(test)
+    run(test)
 
 
-def test_a_flood_of_junk_holds_up_no_request_and_leaves_no_wrong_view() -> None:
-    """As fast as one sender can, for a second, from an address that nobody knows and from one that all do.
+def test_a_flood_of_junk_delays_no_request_and_leaves_no_false_failure() -> None:
+    """Junk arrives for a second as fast as one sender can send it, from an unknown and from a known address.
 
-    Good datagrams are lost among it, so that the member may look gone meanwhile; it doubts itself before the others.
+    Valid datagrams are lost meanwhile, so that the others may declare the flooded member failed; it must not declare
+    the others failed.
     """
 
     async def test() -> None:
         endpoint = await Endpoint(Ledger(), Behaviour(), random.Random(1)).start()
         async with Rig(3, 1, PERIOD_S, [row("s-0", endpoint.address)]) as rig:
             await rig.settle()
-            target = rig.relay.homes[0]
+            target = rig.relay.member_addresses[0]
             flood = asyncio.create_task(asyncio.to_thread(_flood, target, rig.relay.sockets[1]))
             caller = Callers("127.0.0.1", rig.members[0].port, "acme")
             await caller.run([KIND], 100, 1.0)
@@ -213,17 +217,17 @@
             assert not [row for _, source, row in rig.events("gone") if source == "n0"]
         endpoint.stop()
 
-    play(test)
+    run(test)
 
 
 def _flood(target: tuple[str, int], known: socket.socket) -> int:
     end, sent = time.monotonic() + 1.0, 0
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unknown:
         while time.monotonic() < end and sent < 100_000:
-            for one in (stranger, known):
+            for sock in (unknown, known):
                 try:
-                    one.sendto(b"\x71junk" * 20, target)
+                    sock.sendto(b"\x71junk" * 20, target)
                     sent += 1
-                except OSError:  # its buffer is full
+                except OSError:  # the buffer is full
                     continue
     return sent
