--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,12 +1,11 @@
-"""What a long list from Consul costs a sidecar: from the answer to the pools, CPU, memory, and requests meanwhile.
+"""The cost of a long Consul list to a sidecar: time until it is in force, CPU, memory, and latency of requests.
 
     python -m benchmarks.membership [--rounds 20]
 
-One run of the real program for each size, with a stand-in for Consul that names one live endpoint and so many others
-that are critical. Rounds with an update and rounds without follow each other in a drawn order, each with callers that
-send one request after another; the differences of their 99th percentiles and of the CPU are paired, with the interval
-that holds 95% of resampled means. From the answer to the pools is told by when the next question comes: it is asked
-once the list is in force.
+Runs the sidecar program once for each size, with a stand-in for Consul that lists one live endpoint and otherwise
+critical ones. Rounds with and without an update follow each other in random order, each with callers that send one
+request after another. Differences of the 99th percentiles and of the CPU are paired, and printed with the interval that
+holds 95% of the resampled means. The next request to Consul marks the moment when a list is in force.
 """
 
 from __future__ import annotations
@@ -60,8 +59,8 @@
     return found
 
 
-def body(live: str, size: int, changed: int) -> bytes:
-    """One that is live, and so many others, the part of `changed` in a hundred with another weight."""
+def response_body(live: str, size: int, changed: int) -> bytes:
+    """Return `size` instances, one of them live; `changed` percent of the others have another weight."""
     rows = [instance("web", live)]
     for i in range(size - 1):
         row = instance("web", f"10.{i >> 16 & 255}.{i >> 8 & 255}.{i & 255}:80", "critical", f"n{i}")
@@ -70,8 +69,8 @@
     return json.dumps(rows).encode()
 
 
-class Rig:
-    """One size: the program, Consul, and what was seen."""
+class Run:
+    """Measures one size; holds the program, the Consul stand-in and the results."""
 
     def __init__(self, agent: Consul, subject: Subject, bodies: list[bytes]) -> None:
         self.agent, self.subject, self.bodies = agent, subject, bodies
@@ -79,17 +78,18 @@
         self.applied_ms: list[float] = []
 
     async def update(self) -> None:
+        """Send a changed list and wait until it is in force."""
         self.index += 1
-        asked = len(self.agent.requests)
+        requests = len(self.agent.requests)
         self.agent.respond_with(
             answer(200, self.bodies[self.index % len(self.bodies)], f"X-Consul-Index: {self.index}")
         )
-        while len(self.agent.requests) == asked:
+        while len(self.agent.requests) == requests:
             await asyncio.sleep(0.001)
         self.applied_ms.append((time.monotonic() - self.agent.answered_at[-1]) * 1e3)
 
     async def round(self, updates: bool) -> tuple[float, float]:
-        """The 99th percentile of the latency of requests, and the CPU of the round, in milliseconds."""
+        """Return the 99th percentile of the latency of requests, and the CPU time of the round, in milliseconds."""
         latencies: list[float] = []
         end = time.monotonic() + ROUND_S
         before = self.subject.cpu_s()
@@ -111,7 +111,7 @@
             writer.write(request("GET", "/look/item", headers | {"Req-Deadline-Ms": "5000"}))
             message = await read_message(reader)
             if message.status != 200:
-                raise SystemExit(f"answered {message.status}")
+                raise SystemExit(f"unexpected status {message.status}")
             latencies.append((time.monotonic() - begun) * 1e3)
             await asyncio.sleep(0.004)
         writer.close()
@@ -122,46 +122,46 @@
     return int(line.split()[1]) / 1024
 
 
-async def measure(size: int, rounds: int, chance: random.Random) -> None:
-    endpoint = await Endpoint(Ledger(), Behaviour(), chance).start()
+async def measure(size: int, rounds: int, rng: random.Random) -> None:
+    endpoint = await Endpoint(Ledger(), Behaviour(), rng).start()
     agent = await Consul().start()
     agent.set("web", instance("web", endpoint.address))
-    bodies = [body(endpoint.address, size, changed) for changed in (0, 5)]
+    bodies = [response_body(endpoint.address, size, changed) for changed in (0, 5)]
     operator = f'[consul]\nagents = "{agent.address}"\nservices = "web"\nanswer = "16MiB"\n'
     with tempfile.TemporaryDirectory() as folder:
         found = {**document(), "discovery": "127.0.0.1:1"}
         async with running(Path(folder), found, operator) as (process, host, port):
-            rig = Rig(agent, Subject(f"{size} instances", process.pid, (host, port)), bodies)
+            run = Run(agent, Subject(f"{size} instances", process.pid, (host, port)), bodies)
             while not agent.answered_at:
                 await asyncio.sleep(0.01)
             small_mb = memory_mb(process.pid)
-            await asyncio.sleep(0.2)  # past the pace at which it asks
-            await rig.update()  # the first: all of them are new
-            first_ms = rig.applied_ms.pop()
+            await asyncio.sleep(0.2)  # longer than the interval between requests to Consul
+            await run.update()  # all instances are new
+            first_ms = run.applied_ms.pop()
             latencies, cpu = [], []
             for _ in range(rounds):
-                order = chance.sample((False, True), 2)
-                seen = {updates: await rig.round(updates) for updates in order}
+                order = rng.sample((False, True), 2)
+                seen = {updates: await run.round(updates) for updates in order}
                 latencies.append(seen[True][0] - seen[False][0])
                 cpu.append(seen[True][1] - seen[False][1])
             print(
                 f"{size:>6} instances, {len(bodies[0]) / 1e6:5.2f} MB: first in force after {first_ms:6.1f} ms, one "
-                f"with 5% changed after {statistics.median(rig.applied_ms):6.1f} ms (worst {max(rig.applied_ms):.1f}); "
-                f"memory +{memory_mb(process.pid) - small_mb:.1f} MB; CPU of a list {interval(cpu, chance)} ms; "
-                f"99th percentile of requests {interval(latencies, chance)} ms"
+                f"with 5% changed after {statistics.median(run.applied_ms):6.1f} ms (worst {max(run.applied_ms):.1f}); "
+                f"memory +{memory_mb(process.pid) - small_mb:.1f} MB; CPU of a list {interval(cpu, rng)} ms; "
+                f"99th percentile of requests {interval(latencies, rng)} ms"
             )
     agent.stop()
     endpoint.stop()
 
 
-def interval(differences: list[float], chance: random.Random) -> str:
-    means = sorted(statistics.fmean(chance.choices(differences, k=len(differences))) for _ in range(RESAMPLES))
+def interval(differences: list[float], rng: random.Random) -> str:
+    means = sorted(statistics.fmean(rng.choices(differences, k=len(differences))) for _ in range(RESAMPLES))
     low, high = means[int(0.025 * RESAMPLES)], means[int(0.975 * RESAMPLES)]
     return f"{statistics.fmean(differences):+.1f} ({low:+.1f} to {high:+.1f})"
 
 
 async def measure_services() -> None:
-    """Many services at one sidecar, from one instance each to all: time, memory, CPU of a quiet second."""
+    """Grow many services from one instance to all, and print the time, memory and CPU of a quiet second."""
     agent = await Consul().start()
     names = [f"service-{i}" for i in range(SERVICES)]
     for i, name in enumerate(names):
@@ -170,13 +170,13 @@
     with tempfile.TemporaryDirectory() as folder:
         async with running(Path(folder), document(), operator) as (process, host, port):
             subject = Subject("services", process.pid, (host, port))
-            while len(agent.requests) < 2 * SERVICES:  # each is asked for again: its list is in force
+            while len(agent.requests) < 2 * SERVICES:  # each service is polled again once its list is in force
                 await asyncio.sleep(0.01)
             small_mb = memory_mb(process.pid)
-            asked, begun = len(agent.requests), time.monotonic()
+            requests, begun = len(agent.requests), time.monotonic()
             for i, name in enumerate(names):
                 agent.set(name, *[instance(name, f"10.{i}.0.{k}:80", "passing", f"n{k}") for k in range(NODES)])
-            while len(agent.requests) < asked + SERVICES:
+            while len(agent.requests) < requests + SERVICES:
                 await asyncio.sleep(0.001)
             took_ms = (time.monotonic() - begun) * 1e3
             await asyncio.sleep(1.0)
@@ -191,10 +191,10 @@
 
 
 async def measure_all(rounds: int) -> None:
-    chance = random.Random(1)
+    rng = random.Random(1)
     await measure_services()
     for size in SIZES:
-        await measure(size, rounds, chance)
+        await measure(size, rounds, rng)
 
 
 def main() -> None:
--- a/benchmarks/notification_delay.py
+++ b/benchmarks/notification_delay.py
@@ -1,11 +1,12 @@
-"""How long after Consul has told of it an endpoint still gets a new call, counted outside the sidecar.
+"""How long an endpoint still gets new requests after Consul has reported it unavailable, measured outside the sidecar.
 
     python -m benchmarks.notification_delay [--flips 60]
 
-The real program, three endpoints and callers that send one request after another. In each flip Consul tells, in a drawn
-way, that one endpoint is critical, gone or in maintenance, and takes it back a moment later. The endpoints note when
-each request came, the stand-in when the last byte of its answer was handed on. Rule 3 allows a second; 50 ms are aimed
-at. It ends with status 1 where a call came later than that second.
+Runs the sidecar program with three endpoints and callers that send one request after another. In each flip Consul
+reports one random endpoint as critical, removed or in maintenance, and as passing again a moment later. The endpoints
+record when each request arrived, the stand-in when its response was written. Nothing new may be sent to a draining or
+removed endpoint once the notification's grace of one second has passed; the objective is 50 ms. The exit status is 1 if
+a request arrived after that second.
 """
 
 from __future__ import annotations
@@ -30,28 +31,28 @@
 
 ENDPOINTS = 3
 CALLERS = 12
-AWAY_S = 0.25  # how long an endpoint is held back in a flip
-ALLOWED_S = 1.0
-HOW = ("critical", "gone", "maintenance")
+UNAVAILABLE_S = 0.25  # how long an endpoint is unavailable in a flip
+GRACE_S = 1.0
+STATES = ("critical", "gone", "maintenance")
 
 
-class Noting(Endpoint):
-    """An endpoint that notes when requests came."""
+class RecordingEndpoint(Endpoint):
+    """An endpoint that records when requests arrived."""
 
-    came: list[float]
+    arrivals: list[float]
 
     async def reply(self, message: Message) -> bytes:
-        self.came.append(time.monotonic())
+        self.arrivals.append(time.monotonic())
         return await super().reply(message)
 
 
-def rows(endpoints: list[Noting], held: int, how: str) -> list[dict[str, Any]]:
+def rows(endpoints: list[RecordingEndpoint], affected: int, state: str) -> list[dict[str, Any]]:
     found = []
     for i, endpoint in enumerate(endpoints):
-        row = instance("web", endpoint.address, "critical" if (i, how) == (held, "critical") else "passing")
-        if i == held and how == "maintenance":
+        row = instance("web", endpoint.address, "critical" if (i, state) == (affected, "critical") else "passing")
+        if i == affected and state == "maintenance":
             row["Checks"].append({"Node": "n1", "CheckID": "_node_maintenance", "Status": "critical"})
-        if i != held or how != "gone":
+        if i != affected or state != "gone":
             found.append(row)
     return found
 
@@ -71,55 +72,62 @@
 
 
 async def measure(flips: int) -> float:
-    """The latest call after the word, in seconds; what was seen is printed."""
-    chance = random.Random(1)
+    """Print the results; return the delay of the latest new request after a report, in seconds."""
+    rng = random.Random(1)
     endpoints = []
     for _ in range(ENDPOINTS):
-        endpoint = Noting(Ledger(), Behaviour(), chance)
-        endpoint.came = []
+        endpoint = RecordingEndpoint(Ledger(), Behaviour(), rng)
+        endpoint.arrivals = []
         await endpoint.start()
         endpoints.append(endpoint)
     agent = await Consul().start()
     agent.set("web", *rows(endpoints, -1, ""))
     operator = f'[consul]\nagents = "{agent.address}"\nservices = "web"\n'
-    latest: dict[str, list[float]] = {how: [] for how in HOW}
-    back: list[float] = []
+    latest: dict[str, list[float]] = {state: [] for state in STATES}
+    return_delays: list[float] = []
     with tempfile.TemporaryDirectory() as folder:
         async with running(Path(folder), document(), operator) as (_, host, port):
             callers = [asyncio.create_task(call((host, port), i)) for i in range(CALLERS)]
             await asyncio.sleep(0.5)
             for _ in range(flips):
-                held, how = chance.randrange(ENDPOINTS), chance.choice(HOW)
-                answers = len(agent.answered_at)
-                agent.set("web", *rows(endpoints, held, how))
-                await asyncio.sleep(AWAY_S)
-                told = agent.answered_at[answers]
-                after = [came - told for came in endpoints[held].came if came >= told]
-                latest[how].append(max(after, default=0.0))
-                answers = len(agent.answered_at)
+                affected, state = rng.randrange(ENDPOINTS), rng.choice(STATES)
+                responses = len(agent.answered_at)
+                agent.set("web", *rows(endpoints, affected, state))
+                await asyncio.sleep(UNAVAILABLE_S)
+                reported_at = agent.answered_at[responses]
+                delays_after_report = [
+                    arrival - reported_at for arrival in endpoints[affected].arrivals if arrival >= reported_at
+                ]
+                latest[state].append(max(delays_after_report, default=0.0))
+                responses = len(agent.answered_at)
                 agent.set("web", *rows(endpoints, -1, ""))
-                await asyncio.sleep(AWAY_S)
-                told = agent.answered_at[answers]
-                back.append(min(came - told for came in endpoints[held].came if came >= told))
+                await asyncio.sleep(UNAVAILABLE_S)
+                reported_at = agent.answered_at[responses]
+                return_delays.append(
+                    min(arrival - reported_at for arrival in endpoints[affected].arrivals if arrival >= reported_at)
+                )
             for caller in callers:
                 caller.cancel()
             await asyncio.gather(*callers, return_exceptions=True)
     for server in (agent, *endpoints):
         server.stop()
-    for how, found in latest.items():
+    for state, delays in latest.items():
         print(
-            f"{how:<12} {len(found):>4} times: last new call {statistics.median(found) * 1e3:.1f} ms after the word "
-            f"in the median, {max(found) * 1e3:.1f} ms at the worst"
+            f"{state:<12} {len(delays):>4} times: last new request {statistics.median(delays) * 1e3:.1f} ms "
+            f"after the report in the median, {max(delays) * 1e3:.1f} ms in the worst case"
         )
-    print(f"back in use after {statistics.median(back) * 1e3:.1f} ms in the median, {max(back) * 1e3:.1f} at the worst")
-    return max(max(found) for found in latest.values() if found)
+    print(
+        f"back in use after {statistics.median(return_delays) * 1e3:.1f} ms in the median, "
+        f"{max(return_delays) * 1e3:.1f} in the worst case"
+    )
+    return max(max(delays) for delays in latest.values() if delays)
 
 
 def main() -> int:
     parser = argparse.ArgumentParser(prog="python -m benchmarks.notification_delay", description=__doc__)
     parser.add_argument("--flips", type=int, default=60)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        return int(runner.run(measure(parser.parse_args().flips)) > ALLOWED_S)
+        return int(runner.run(measure(parser.parse_args().flips)) > GRACE_S)
 
 
 if __name__ == "__main__":
--- a/eiderhub/membership/__init__.py
+++ b/eiderhub/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Where endpoints come from: sources that tell lists, and how several are joined into one picture."""
+"""Sources of endpoint lists, and how the lists of several sources are merged into one view."""
--- a/eiderhub/membership/command.py
+++ b/eiderhub/membership/command.py
@@ -1,14 +1,14 @@
-"""`eiderhub members FILE`: what a sidecar would believe, from recorded answers of its sources.
+"""`eiderhub members FILE`: replay recorded responses of several sources and print the resulting endpoint list.
 
-The file holds a JSON object in each line, in the order in which things came:
+The file holds one JSON object per line, in the order of arrival:
 
     {"at_ms": 1796169600000, "source": "platform", "body": {"generation": 1, "reset": true, "instances": []}}
     {"at_ms": 1796169600250, "source": "consul", "body": []}
     {"at_ms": 1796169631000, "source": "consul"}
 
-`at_ms` is Unix time, as endpoints' starts are; times are printed from the first line on. `source` is `platform` (its
-own form of a list) or `consul`, with a name behind a colon where there are several (`consul:bodega`). A line without
-`body` says that the source answered and nothing was new.
+`at_ms` is Unix time, like the endpoints' start times; printed times count from the first line. `source` is `platform`
+(its own list format) or `consul`, followed by a colon and a name if there are several (`consul:bodega`). A line without
+`body` means that the source answered without changes.
 """
 
 from __future__ import annotations
@@ -21,121 +21,130 @@
 from typing import Any, NamedTuple
 
 from eiderhub.interface import Readiness
-from eiderhub.membership.consul.health import Meaning, read_health
+from eiderhub.membership.consul.health import FieldMapping, read_health
 from eiderhub.membership.endpoint_list import ListedEndpoint, read_endpoint_list
-from eiderhub.membership.merger import Merger, Step, Terms
+from eiderhub.membership.merger import Merger, MergeResult, SourcePolicy
 from eiderhub.sidecar.clock import UNIX_OFFSET_US
 
-FORMS = ("platform", "consul")
+SOURCE_KINDS = ("platform", "consul")  # in order of precedence
 
 
-class Recorded(NamedTuple):
+class RecordedResponse(NamedTuple):
     """One line of the file."""
 
-    number: int
-    at_us: int
+    line: int
+    received_us: int
     source: str
-    body: Any  # None: nothing was new
+    body: Any  # None: no changes
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Exit status 0: all was read; 1: some answers could not be, and were left out; 2: the file can't be read."""
+    """Run the command; exit status 0: success, 1: some responses were malformed and skipped, 2: unreadable file."""
     options = _parser().parse_args(arguments)
     try:
         recorded = list(_read(options.file))
-        terms = [Terms(name, round(options.caution * 1e6)) for name in _by_precedence(recorded)]
+        policies = [SourcePolicy(name, round(options.caution * 1e6)) for name in _by_precedence(recorded)]
     except (OSError, ValueError) as error:
         print(f"eiderhub members: {error}", file=sys.stderr)
         return 2
-    player = _Player(recorded, Merger(terms), Meaning(warning=Readiness(options.warning)))
-    player.play()
-    return 1 if player.unreadable else 0
+    replay = _Replay(recorded, Merger(policies), FieldMapping(warning_state=Readiness(options.warning)))
+    replay.run()
+    return 1 if replay.malformed else 0
 
 
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="eiderhub members", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("file", type=Path, help="recorded answers, one JSON object a line")
-    parser.add_argument("--warning", choices=("ready", "draining"), default="ready", help="what Consul's warning means")
-    parser.add_argument("--caution", type=float, default=60.0, help="seconds that a silent source's caution stands")
+    parser.add_argument("file", type=Path, help="recorded responses, one JSON object per line")
+    parser.add_argument(
+        "--warning", choices=("ready", "draining"), default="ready", help="state of an instance with a warning check"
+    )
+    parser.add_argument(
+        "--caution",
+        type=float,
+        default=60.0,
+        help="seconds for which a silent source's draining or removed state overrides another's ready state",
+    )
     return parser
 
 
-def _read(path: Path) -> Iterator[Recorded]:
+def _read(path: Path) -> Iterator[RecordedResponse]:
     last_us: int | None = None
     for number, line in enumerate(path.read_text(encoding="utf-8").splitlines(), 1):
         if not line.strip():
             continue
         try:
             row = json.loads(line)
-            at_us = round(float(row["at_ms"]) * 1000) - UNIX_OFFSET_US
-            recorded = Recorded(number, at_us, str(row["source"]), row.get("body"))
+            received_us = round(float(row["at_ms"]) * 1000) - UNIX_OFFSET_US
+            recorded = RecordedResponse(number, received_us, str(row["source"]), row.get("body"))
         except (ValueError, KeyError, TypeError, AttributeError, OverflowError) as error:
-            raise ValueError(f"{path}:{number}: no recorded answer ({type(error).__name__}: {error})") from None
-        if recorded.source.partition(":")[0] not in FORMS:
-            raise ValueError(f"{path}:{number}: {recorded.source}: a source is one of {', '.join(FORMS)}")
-        if last_us is not None and recorded.at_us < last_us:
+            raise ValueError(f"{path}:{number}: not a recorded response ({type(error).__name__}: {error})") from None
+        if recorded.source.partition(":")[0] not in SOURCE_KINDS:
+            raise ValueError(f"{path}:{number}: unknown source {recorded.source}: expected {' or '.join(SOURCE_KINDS)}")
+        if last_us is not None and recorded.received_us < last_us:
             raise ValueError(f"{path}:{number}: earlier than the line before it")
-        last_us = recorded.at_us
+        last_us = recorded.received_us
         yield recorded
 
 
-def _by_precedence(recorded: Sequence[Recorded]) -> list[str]:
-    """The platform's list tells zone and weight before any other."""
-    return sorted({one.source for one in recorded}, key=lambda name: (FORMS.index(name.partition(":")[0]), name))
+def _by_precedence(recorded: Sequence[RecordedResponse]) -> list[str]:
+    """Return the sources' names; zone and weight come from the platform's list first."""
+    return sorted({one.source for one in recorded}, key=lambda name: (SOURCE_KINDS.index(name.partition(":")[0]), name))
 
 
-class _Player:
-    """Plays recorded answers to a merger and prints what changes, and when."""
+class _Replay:
+    """Feeds recorded responses to a merger and prints each change with its time."""
 
-    def __init__(self, recorded: Sequence[Recorded], merger: Merger, meaning: Meaning) -> None:
-        self.recorded, self.merger, self.meaning = recorded, merger, meaning
-        self.begun_us = self.now_us = recorded[0].at_us if recorded else 0
-        self.unreadable = 0  # answers that were left out
+    def __init__(self, recorded: Sequence[RecordedResponse], merger: Merger, field_mapping: FieldMapping) -> None:
+        self.recorded, self.merger, self.field_mapping = recorded, merger, field_mapping
+        self.begun_us = self.now_us = recorded[0].received_us if recorded else 0
+        self.malformed = 0  # responses that were skipped
 
-    def play(self) -> None:
-        for one in self.recorded:
-            self._expire(one.at_us)
-            self.now_us = one.at_us
+    def run(self) -> None:
+        for response in self.recorded:
+            self._expire(response.received_us)
+            self.now_us = response.received_us
             try:
-                self._print(self._told(one))
+                self._print_result(self._apply(response))
             except ValueError as error:
-                self.unreadable += 1
-                self._line(f"line {one.number}: {one.source}: {error}; what it said before stands")
+                self.malformed += 1
+                self._print_line(f"line {response.line}: {response.source}: {error}; its previous list stays in force")
         self._expire(None)
-        print(f"in the end: {len(self.merger.picture)} endpoints")
-        for entry in sorted(self.merger.picture.values()):
-            print(f"  {_named(entry)}  {entry.endpoint.readiness.value}")
+        print(f"in the end: {len(self.merger.endpoints)} endpoints")
+        for entry in sorted(self.merger.endpoints.values()):
+            print(f"  {_describe(entry)}  {entry.endpoint.readiness.value}")
 
     def _expire(self, until_us: int | None) -> None:
-        """Each end of a word before the next line, at its own time."""
-        while (due_us := self.merger.due_us(self.now_us)) is not None and (until_us is None or due_us < until_us):
+        """Apply each expiry of an override before the next line, at its own time."""
+        while (due_us := self.merger.next_expiry_us(self.now_us)) is not None and (
+            until_us is None or due_us < until_us
+        ):
             self.now_us = due_us
-            self._print(self.merger.tick(due_us))
-
-    def _told(self, one: Recorded) -> Step:
-        if one.body is None:
-            return self.merger.heard(one.source, one.at_us)
-        if one.source.partition(":")[0] == "platform":
-            listing = read_endpoint_list(one.body)
-            return self.merger.tell(one.source, one.at_us, listing.is_full, listing.entries)
-        answer = read_health(json.dumps(one.body).encode(), self.meaning)
-        for reason in answer.refused:
-            self._line(f"line {one.number}: {one.source}: left out: {reason}")
-        return self.merger.tell(one.source, one.at_us, True, answer.entries)
-
-    def _print(self, step: Step) -> None:
-        for entry in step.changes:
-            words = self.merger.words((entry.host, entry.port))
-            told = ", ".join(f"{name}: {word.value}" for name, word in words.items())
-            self._line(f"{_named(entry)}  {entry.endpoint.readiness.value} ({told})")
-        for note in step.notes:
-            self._line(f"they disagree: {note}")
-
-    def _line(self, text: str) -> None:
+            self._print_result(self.merger.expire(due_us))
+
+    def _apply(self, response: RecordedResponse) -> MergeResult:
+        if response.body is None:
+            return self.merger.confirm(response.source, response.received_us)
+        if response.source.partition(":")[0] == "platform":
+            listing = read_endpoint_list(response.body)
+            return self.merger.update(response.source, response.received_us, listing.is_full, listing.entries)
+        instances = read_health(json.dumps(response.body).encode(), self.field_mapping)
+        for reason in instances.rejected:
+            self._print_line(f"line {response.line}: {response.source}: left out: {reason}")
+        return self.merger.update(response.source, response.received_us, True, instances.entries)
+
+    def _print_result(self, result: MergeResult) -> None:
+        for entry in result.changes:
+            states = self.merger.reported_states((entry.host, entry.port))
+            listed = ", ".join(f"{name}: {state.value}" for name, state in states.items())
+            self._print_line(f"{_describe(entry)}  {entry.endpoint.readiness.value} ({listed})")
+        for conflict in result.conflicts:
+            self._print_line(f"sources disagree: {conflict}")
+
+    def _print_line(self, text: str) -> None:
         print(f"{(self.now_us - self.begun_us) / 1e6:9.3f} s  {text}")
 
 
-def _named(entry: ListedEndpoint) -> str:
+def _describe(entry: ListedEndpoint) -> str:
     return f"{entry.endpoint.id} at {entry.host}:{entry.port}"
--- a/eiderhub/membership/consul/__init__.py
+++ b/eiderhub/membership/consul/__init__.py
@@ -1,1 +1,1 @@
-"""Consul's health API as a source of endpoints. Imported only where it is asked for."""
+"""Consul's health API as a source of endpoint lists. Imported only where the operator's file enables it."""
--- a/eiderhub/membership/consul/client.py
+++ b/eiderhub/membership/consul/client.py
@@ -1,4 +1,4 @@
-"""Asks Consul's agents for services and hands on what they say: the thin edge of `query` and `health`."""
+"""Polls Consul agents for services and passes on their instances; `query` and `health` hold the logic without I/O."""
 
 from __future__ import annotations
 
@@ -9,115 +9,121 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from eiderhub.membership.consul.health import Answer, read_catalogue, read_health
-from eiderhub.membership.consul.query import Ask, Options, Query
+from eiderhub.membership.consul.health import InstanceList, read_catalogue, read_health
+from eiderhub.membership.consul.query import Options, Query, QueryRequest
 from eiderhub.membership.endpoint_list import ListedEndpoint
 from eiderhub.membership.list_client import ListClient
 from eiderhub.sidecar.clock import now_us
 
-MAX_TOKEN = 4096  # bytes
-ASIDE = 64 * 1024  # bytes of an answer that are read beside the loop: a long list would hold up every request
-Told = Callable[[str, list[ListedEndpoint]], Awaitable[None]]
+MAX_TOKEN_BYTES = 4096
+MAX_INLINE_BYTES = 64 * 1024  # longer responses are decoded in a thread, since they would delay every request
+OnList = Callable[[str, list[ListedEndpoint]], Awaitable[None]]
 log = logging.getLogger(__name__)
 
 
-class Consul:
-    """One question at a time for each service. `told` gets a service's name and all of its instances."""
+class ConsulSource:
+    """Polls each service with one request at a time. `on_list` gets a service's name and all of its instances."""
 
-    def __init__(self, options: Options, told: Told) -> None:
+    def __init__(self, options: Options, on_list: OnList) -> None:
         self.options = options
-        self.told = told
+        self.on_list = on_list
         self._tasks: list[asyncio.Task[None]] = []
-        self._complaints: dict[str, str] = {}  # by service: what was logged last, so that nothing is twice in a row
+        self._last_warnings: dict[str, str] = {}  # by service, so that no warning is logged twice in a row
 
     def start(self) -> None:
+        """Start polling; needs a running event loop."""
         loop = asyncio.get_running_loop()
-        self._tasks = [loop.create_task(self._watch(service)) for service in self.options.services]
+        self._tasks = [loop.create_task(self._poll_forever(service)) for service in self.options.services]
 
     def stop(self) -> None:
+        """Cancel all polls."""
         for task in self._tasks:
             task.cancel()
 
-    async def _watch(self, service: str) -> None:
-        query, asker = Query(self.options, service), ListClient(self.options.most)
+    async def _poll_forever(self, service: str) -> None:
+        query, client = Query(self.options, service), ListClient(self.options.max_response_bytes)
         try:
             while True:
                 try:
-                    pause_us = await self._once(query, asker)
-                    self._complain(service, "")
-                except Exception as error:  # whatever it is: what Consul said last stands, and it is asked again
-                    asker.close_connection()
-                    pause_us = query.failed(random.random())
-                    self._complain(service, f"{type(error).__name__}: {error}")
+                    pause_us = await self._poll_once(query, client)
+                    self._warn_once(service, "")
+                except Exception as error:  # after any failure the last list stays in force, and polling goes on
+                    client.close_connection()
+                    pause_us = query.on_failure(random.random())
+                    self._warn_once(service, f"{type(error).__name__}: {error}")
                 await asyncio.sleep(pause_us / 1e6)
         finally:
-            asker.close_connection()
-
-    async def _once(self, query: Query, asker: ListClient) -> int:
-        answer, headers = await fetch(self.options, query.ask(now_us()), asker)
-        pause_us = query.answered(now_us(), 200, headers)
-        if answer.refused:
-            self._complain(query.service, f"{len(answer.refused)} instances left out, such as {answer.refused[0]}")
-        await self.told(query.service, answer.entries)
+            client.close_connection()
+
+    async def _poll_once(self, query: Query, client: ListClient) -> int:
+        instances, headers = await fetch(self.options, query.next_request(now_us()), client)
+        pause_us = query.on_response(now_us(), 200, headers)
+        if instances.rejected:
+            self._warn_once(
+                query.service, f"{len(instances.rejected)} instances left out, such as {instances.rejected[0]}"
+            )
+        await self.on_list(query.service, instances.entries)
         return pause_us
 
-    def _complain(self, service: str, text: str) -> None:
-        if text and self._complaints.get(service) != text:
+    def _warn_once(self, service: str, text: str) -> None:
+        if text and self._last_warnings.get(service) != text:
             log.warning("consul: %s: %s", service, text)
-        self._complaints[service] = text
+        self._last_warnings[service] = text
 
 
-async def fetch(options: Options, ask: Ask, asker: ListClient) -> tuple[Answer, dict[str, str]]:
-    """One question's answer, and its headers by their names in small letters.
+async def fetch(options: Options, request: QueryRequest, client: ListClient) -> tuple[InstanceList, dict[str, str]]:
+    """Send one request; return the instances and the headers by their lower-case names.
 
-    Raises ValueError for what is no answer, with the reason, and OSError or TimeoutError where none comes.
+    Raises ValueError with the reason if the response can't be used, and OSError or TimeoutError if there is none.
     """
-    response = await asker.fetch(ask.host, ask.port, await _request(options, ask), ask.patience_us / 1e6)
+    response = await client.fetch(
+        request.host, request.port, await _request_bytes(options, request), request.timeout_us / 1e6
+    )
     if response.status != 200:
-        raise ValueError(f"answered {response.status}")
+        raise ValueError(f"unexpected status {response.status}")
     headers = {name.decode("latin-1").lower(): value.decode("latin-1") for name, value in response.headers}
     coding = headers.get("content-encoding", "")
-    if len(response.body) > ASIDE or coding:
-        return await asyncio.to_thread(_decoded, options, response.body, coding), headers
-    return _decoded(options, response.body, coding), headers
+    if len(response.body) > MAX_INLINE_BYTES or coding:
+        return await asyncio.to_thread(_decode, options, response.body, coding), headers
+    return _decode(options, response.body, coding), headers
 
 
-async def _request(options: Options, ask: Ask) -> bytes:
-    lines = [f"GET {ask.target} HTTP/1.1", f"Host: {ask.host}:{ask.port}", "Accept-Encoding: gzip"]
+async def _request_bytes(options: Options, request: QueryRequest) -> bytes:
+    lines = [f"GET {request.target} HTTP/1.1", f"Host: {request.host}:{request.port}", "Accept-Encoding: gzip"]
     if options.token_file is not None:
-        token = await asyncio.to_thread(_token, Path(options.token_file))
+        token = await asyncio.to_thread(_read_token, Path(options.token_file))
         lines.append(f"X-Consul-Token: {token}")
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
 
-def _decoded(options: Options, body: bytes, coding: str) -> Answer:
+def _decode(options: Options, body: bytes, coding: str) -> InstanceList:
     if coding == "gzip":
-        body = _unzipped(body, options.most)
+        body = _gunzip(body, options.max_response_bytes)
     elif coding not in ("", "identity"):
-        raise ValueError(f"an answer coded as {coding[:20]!r}")
-    read = read_catalogue if options.catalogue else read_health
-    return read(body, options.meaning)
+        raise ValueError(f"unsupported content encoding {coding[:20]!r}")
+    read = read_catalogue if options.use_catalogue else read_health
+    return read(body, options.field_mapping)
 
 
-def _token(path: Path) -> str:
-    """Read for each question: the file may be replaced at any time. It is never part of a message.
+def _read_token(path: Path) -> str:
+    """Read the token, for each request, since the file may be replaced at any time. No message contains the token.
 
-    Raises ValueError where it is no token, and OSError where there is none.
+    Raises ValueError if the file holds no token, and OSError if it can't be read.
     """
     with path.open("rb") as file:
-        told = file.read(MAX_TOKEN + 1).strip()
-    if not told or len(told) > MAX_TOKEN or not all(0x21 <= byte <= 0x7E for byte in told):
-        raise ValueError("the token's file holds no token")
-    return told.decode("ascii")
+        token = file.read(MAX_TOKEN_BYTES + 1).strip()
+    if not token or len(token) > MAX_TOKEN_BYTES or not all(0x21 <= byte <= 0x7E for byte in token):
+        raise ValueError("the token file does not contain a valid token")
+    return token.decode("ascii")
 
 
-def _unzipped(body: bytes, most: int) -> bytes:
-    """Raises ValueError where it is cut, no gzip, or more than may be held."""
-    unzip = zlib.decompressobj(zlib.MAX_WBITS | 16)
+def _gunzip(body: bytes, max_bytes: int) -> bytes:
+    """Raises ValueError if the data is truncated, not gzip, or longer than `max_bytes` once decompressed."""
+    decompressor = zlib.decompressobj(zlib.MAX_WBITS | 16)
     try:
-        found = unzip.decompress(body, most)
+        decompressed = decompressor.decompress(body, max_bytes)
     except zlib.error as error:
-        raise ValueError(f"no gzip: {error}") from None
-    if not unzip.eof:
-        raise ValueError("a compressed answer that is cut, or too long")
-    return found
+        raise ValueError(f"invalid gzip data: {error}") from None
+    if not decompressor.eof:
+        raise ValueError("the compressed response is truncated or too long")
+    return decompressed
--- a/eiderhub/membership/consul/health.py
+++ b/eiderhub/membership/consul/health.py
@@ -1,9 +1,9 @@
-"""What Consul's answers say of endpoints: pure, bytes in, endpoints out.
+"""Reads instances of a service from Consul's responses: bytes in, endpoints out, no I/O.
 
-The health API's, `/v1/health/service/:name`, and the catalogue's, `/v1/catalog/service/:name`, which tells no checks.
+Supports the health API, `/v1/health/service/:name`, and the catalogue, `/v1/catalog/service/:name`, without checks.
 
-Strict about what a send depends on (address, port, checks), tolerant of the rest. An instance that can't be used is
-left out with its reason, and takes no other with it; an answer that can't be read is no answer, and changes nothing.
+What a send depends on (address, port, checks) is validated strictly, all else is tolerated. An instance that can't be
+used is left out with a reason and does not affect the others; a response that can't be read is rejected as a whole.
 
 Sources: Consul's HTTP API, "Health", "List Service Instances for Service"; "Catalog", "List Nodes for Service".
 """
@@ -23,14 +23,14 @@
 SERVICE_MAINTENANCE = "_service_maintenance"
 
 
-class Meaning(NamedTuple):
-    """Where a site tells what lists tell: keys of a service's `Meta`, of its node's, or of tags `key=value`."""
+class FieldMapping(NamedTuple):
+    """Where an instance's fields are found: keys of the service's `Meta`, of its node's, or of tags `key=value`."""
 
-    zone: str = "zone"
-    kind: str = "kind"
-    cell: str = "cell"
-    started_ms: str = "started_ms"  # Unix time
-    warning: Readiness = Readiness.READY  # what a check with a warning makes of its service
+    zone_key: str = "zone"
+    kind_key: str = "kind"
+    cell_key: str = "cell"
+    started_ms_key: str = "started_ms"  # Unix time
+    warning_state: Readiness = Readiness.READY  # the state of an instance with a check in status warning
 
 
 class _Check(msgspec.Struct, rename="pascal"):
@@ -70,8 +70,8 @@
     checks: list[_Check]
 
 
-class _Row(msgspec.Struct, rename="pascal"):
-    """The catalogue's flat form of an instance."""
+class _CatalogueRow(msgspec.Struct, rename="pascal"):
+    """An instance in the flat format of the catalogue."""
 
     node: str
     service_id: str = msgspec.field(name="ServiceID")
@@ -84,7 +84,7 @@
     service_meta: dict[str, str] | None = None
     service_weights: _Weights | None = None
 
-    def instance(self) -> _Instance:
+    def to_instance(self) -> _Instance:
         service = _Service(
             self.service_id, self.service_name, self.service_port, self.service_address, self.service_tags,
             self.service_meta, self.service_weights,
@@ -93,62 +93,64 @@
 
 
 _HEALTH = msgspec.json.Decoder(list[_Instance] | None)
-_CATALOGUE = msgspec.json.Decoder(list[_Row] | None)
+_CATALOGUE = msgspec.json.Decoder(list[_CatalogueRow] | None)
 
 
-class Answer(NamedTuple):
+class InstanceList(NamedTuple):
+    """The instances of one response."""
+
     entries: list[ListedEndpoint]
-    refused: list[str]  # instances that were left out, each with its reason
+    rejected: list[str]  # instances that were left out, each with its reason
 
 
-def read_health(body: bytes, meaning: Meaning) -> Answer:
-    """Raises ValueError where the body is no such answer: whoever asked keeps what it had."""
+def read_health(body: bytes, field_mapping: FieldMapping) -> InstanceList:
+    """Read a response of the health API. Raises ValueError if it is malformed; the caller then keeps its last list."""
     try:
         instances = _HEALTH.decode(body) or []
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise ValueError(f"no answer of the health API: {error}") from None
-    return _answer(instances, meaning)
+        raise ValueError(f"malformed response of the health API: {error}") from None
+    return _to_list(instances, field_mapping)
 
 
-def read_catalogue(body: bytes, meaning: Meaning) -> Answer:
-    """The same for the catalogue: whatever is registered is ready. Raises ValueError."""
+def read_catalogue(body: bytes, field_mapping: FieldMapping) -> InstanceList:
+    """Read a response of the catalogue, in which every instance is ready. Raises ValueError if it is malformed."""
     try:
         rows = _CATALOGUE.decode(body) or []
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise ValueError(f"no answer of the catalogue: {error}") from None
-    return _answer([row.instance() for row in rows], meaning)
+        raise ValueError(f"malformed response of the catalogue: {error}") from None
+    return _to_list([row.to_instance() for row in rows], field_mapping)
 
 
-def _answer(instances: list[_Instance], meaning: Meaning) -> Answer:
-    entries, refused = [], []
+def _to_list(instances: list[_Instance], field_mapping: FieldMapping) -> InstanceList:
+    entries, rejected = [], []
     for instance in instances:
         try:
-            entries.append(_listed(instance, meaning))
+            entries.append(_to_entry(instance, field_mapping))
         except ValueError as error:
-            refused.append(f"{instance.node.node}/{instance.service.id}: {error}")
-    return Answer(entries, refused)
+            rejected.append(f"{instance.node.node}/{instance.service.id}: {error}")
+    return InstanceList(entries, rejected)
 
 
-def _listed(instance: _Instance, meaning: Meaning) -> ListedEndpoint:
+def _to_entry(instance: _Instance, field_mapping: FieldMapping) -> ListedEndpoint:
     service, node = instance.service, instance.node
     tags = service.tags or []
-    told = dict(tag.split("=", 1) for tag in tags if "=" in tag)
-    meta = {**told, **(node.meta or {}), **(service.meta or {})}
+    from_tags = dict(tag.split("=", 1) for tag in tags if "=" in tag)
+    meta = {**from_tags, **(node.meta or {}), **(service.meta or {})}
     host = _address(service.address or node.address)
     if not 1 <= service.port <= 65535:
-        raise ValueError(f"port {service.port} can't be sent to")
-    readiness, warned = _readiness(instance.checks, meaning)
+        raise ValueError(f"port {service.port} is out of range")
+    readiness, has_warning = _readiness(instance.checks, field_mapping)
     weights = service.weights or _Weights()
-    weight = weights.warning if warned else weights.passing
-    started_ms = _number(meta, meaning.started_ms)
+    weight = weights.warning if has_warning else weights.passing
+    started_ms = _number(meta, field_mapping.started_ms_key)
     facts = {"service": service.service, **meta}
     labels = {f"{name}={value}" for name, value in facts.items()} | {f"tag={tag}" for tag in tags}
     endpoint = Endpoint(
-        # Ids of services are unique on a node alone.
+        # Service ids are unique only within a node.
         id=f"{node.node}/{service.id}",
-        zone=meta.get(meaning.zone, service.locality.zone if service.locality else ""),
-        machine_kind=meta.get(meaning.kind, ""),
-        cell=_number(meta, meaning.cell, -1),
+        zone=meta.get(field_mapping.zone_key, service.locality.zone if service.locality else ""),
+        machine_kind=meta.get(field_mapping.kind_key, ""),
+        cell=_number(meta, field_mapping.cell_key, -1),
         readiness=readiness,
         weight=float(weight) if weight > 0 else 1.0,
         started_us=started_ms * 1000 - UNIX_OFFSET_US or 1 if started_ms else 0,
@@ -157,33 +159,33 @@
     return ListedEndpoint(endpoint, host, service.port)
 
 
-def _address(told: str) -> str:
+def _address(text: str) -> str:
     try:
-        return str(ip_address(told))
+        return str(ip_address(text))
     except ValueError:
-        raise ValueError(f"{told!r} is no IP address, and names are not looked up") from None
+        raise ValueError(f"{text!r} is not an IP address, and host names are not resolved") from None
 
 
-def _readiness(checks: list[_Check], meaning: Meaning) -> tuple[Readiness, bool]:
-    """What all checks together make of an instance, its node's among them, and whether one has a warning.
+def _readiness(checks: list[_Check], field_mapping: FieldMapping) -> tuple[Readiness, bool]:
+    """Return the state that all checks of an instance and of its node result in, and whether there is a warning.
 
-    Consul's worst check counts. A state that is not known is taken for the worst.
+    As in Consul, the most severe check counts. An unknown status counts as the most severe one.
     """
-    warned = False
+    has_warning = False
     for check in checks:
         if check.check_id.startswith((NODE_MAINTENANCE, SERVICE_MAINTENANCE)):
-            return Readiness.DRAINING, warned
+            return Readiness.DRAINING, has_warning
         if check.status == "warning":
-            warned = True
+            has_warning = True
         elif check.status != "passing":
-            return Readiness.DRAINING, warned
-    return (meaning.warning if warned else Readiness.READY), warned
+            return Readiness.DRAINING, has_warning
+    return (field_mapping.warning_state if has_warning else Readiness.READY), has_warning
 
 
-def _number(meta: dict[str, str], key: str, missing: int = 0) -> int:
-    told = meta.get(key)
-    if told is None:
-        return missing
-    if not told.isascii() or not told.isdigit() or len(told) > 15:
-        raise ValueError(f"{key}: {told[:20]!r} is no number")
-    return int(told)
+def _number(meta: dict[str, str], key: str, default: int = 0) -> int:
+    text = meta.get(key)
+    if text is None:
+        return default
+    if not text.isascii() or not text.isdigit() or len(text) > 15:
+        raise ValueError(f"{key}: {text[:20]!r} is not a number")
+    return int(text)
--- a/eiderhub/membership/consul/options.py
+++ b/eiderhub/membership/consul/options.py
@@ -1,12 +1,12 @@
-"""The operator's table `[consul]`: which services are asked for, of whom, and what their answers mean."""
+"""The table `[consul]` of the operator's file: agents, services, and how responses are interpreted."""
 
 from __future__ import annotations
 
 from typing import Any
 
 from eiderhub.interface import Readiness
-from eiderhub.membership.consul.health import Meaning
-from eiderhub.membership.consul.query import CONSISTENCY, Options
+from eiderhub.membership.consul.health import FieldMapping
+from eiderhub.membership.consul.query import CONSISTENCY_MODES, Options
 from eiderhub.schema.kinds import (
     HOUR_US,
     REQUIRED,
@@ -22,40 +22,41 @@
 )
 from eiderhub.schema.pair import Pair
 
-META = Text(r"[A-Za-z0-9_-]{1,128}", "a key of Meta")
-NAME = Text(r"[^\x00-\x20/?#]{1,128}", "a name as Consul has it")
-SCOPE = {"datacenter": "dc", "namespace": "ns", "partition": "partition", "filter": "filter"}
+META_KEY = Text(r"[A-Za-z0-9_-]{1,128}", "a key of Meta")
+NAME = Text(r"[^\x00-\x20/?#]{1,128}", "a name without spaces, '/', '?' or '#'")
+SCOPE_PARAMETERS = {"datacenter": "dc", "namespace": "ns", "partition": "partition", "filter": "filter"}
 TABLES: dict[str, Kind] = {
     "consul": Table(
         (
-            Key("agents", Several(SocketAddress(1), 16), "agents, the first in use, the others in reserve", REQUIRED),
-            Key("services", Several(NAME), "services whose instances are endpoints; each bears the label `service`",
+            Key("agents", Several(SocketAddress(1), 16), "agents; one is polled, the next after a failure", REQUIRED),
+            Key("services", Several(NAME), "services whose instances are endpoints; each gets the label `service`",
                 REQUIRED),
-            Key("api", Choice(("health", "catalogue")), "which API is asked; the catalogue tells no checks", "health"),
-            Key("mode", Choice(CONSISTENCY), "how fresh answers are", "default"),
-            Key("wait", Duration(1_000_000, HOUR_US // 6), "how long an agent may hold a question", 30_000_000),
-            Key("oldest", Duration(0, HOUR_US), "how old an agent's knowledge may be", 30_000_000),
+            Key("api", Choice(("health", "catalogue")), "which API is polled; the catalogue has no checks", "health"),
+            Key("mode", Choice(CONSISTENCY_MODES), "consistency mode of requests", "default"),
+            Key("wait", Duration(1_000_000, HOUR_US // 6), "how long an agent may wait for a change", 30_000_000),
+            Key("oldest", Duration(0, HOUR_US), "maximum age of an agent's data", 30_000_000),
             Key("caution", Duration(0, 24 * HOUR_US),
-                "how long a silent Consul's caution stands above the platform's `ready`; 0: for good", 60_000_000),
-            Key("answer", Size(65_536, 1 << 26), "the longest answer", 8 << 20),
-            Key("token-file", Text(), "holds the ACL token, and may be replaced at any time", None),
-            Key("datacenter", NAME, "asked of instead of the agent's own", None),
+                "how long a silent Consul's draining or removed state overrides the platform's `ready`; 0: no limit",
+                60_000_000),
+            Key("answer", Size(65_536, 1 << 26), "maximum size of a response", 8 << 20),
+            Key("token-file", Text(), "file with the ACL token; it may be replaced at any time", None),
+            Key("datacenter", NAME, "instead of the agent's own", None),
             Key("namespace", NAME, "of the services", None),
             Key("partition", NAME, "of the services", None),
-            Key("filter", Text(r"(?s).{1,1024}", "a filter expression"), "instances that it leaves out are gone", None),
-            Key("tags", Several(NAME), "that instances must bear", ()),
-            Key("warning", Choice(("ready", "draining")), "what a check with a warning means", "ready"),
-            Key("zone", META, "the key of Meta that tells an instance's zone", "zone"),
-            Key("kind", META, "the key of Meta that tells its kind of machine", "kind"),
-            Key("cell", META, "the key of Meta that tells its cell", "cell"),
-            Key("started", META, "the key of Meta that tells its start, in milliseconds of Unix time", "started_ms"),
+            Key("filter", Text(r"(?s).{1,1024}", "a filter expression"), "excluded instances are removed", None),
+            Key("tags", Several(NAME), "tags that instances must have", ()),
+            Key("warning", Choice(("ready", "draining")), "state of an instance with a warning check", "ready"),
+            Key("zone", META_KEY, "the key of Meta with an instance's zone", "zone"),
+            Key("kind", META_KEY, "the key of Meta with its kind of machine", "kind"),
+            Key("cell", META_KEY, "the key of Meta with its cell", "cell"),
+            Key("started", META_KEY, "the key of Meta with its start, in milliseconds of Unix time", "started_ms"),
         )
     ),
 }  # fmt: skip
 
 
 def read_options(tables: dict[str, Any]) -> Options | None:
-    """What a checked operator's file asks for."""
+    """Return the options from the tables of a checked operator's file, or None if Consul is not used."""
     row = tables.get("consul")
     if row is None:
         return None
@@ -68,18 +69,21 @@
         row["caution"],
         row["answer"],
         row["token-file"],
-        tuple((theirs, row[ours]) for ours, theirs in SCOPE.items() if row[ours] is not None),
+        tuple((parameter, row[key]) for key, parameter in SCOPE_PARAMETERS.items() if row[key] is not None),
         tuple(row["tags"]),
         row["api"] == "catalogue",
-        Meaning(row["zone"], row["kind"], row["cell"], row["started"], Readiness(row["warning"])),
+        FieldMapping(row["zone"], row["kind"], row["cell"], row["started"], Readiness(row["warning"])),
     )
 
 
 def check(pair: Pair) -> None:
+    """Add findings for what is well-formed but wrong."""
     row = pair.tables.get("consul")
     if row is None:
         return
     spot = pair.operator / "consul"
     for key in ("agents", "services"):
         if len(set(row[key])) < len(row[key]):
-            (spot / key).error("twice", f"one of the {key} stands twice", "It would be asked twice", "Leave one out")
+            (spot / key).error(
+                "twice", f"one of the {key} is listed twice", "It would be polled twice", "Remove one of them"
+            )
--- a/eiderhub/membership/consul/probe.py
+++ b/eiderhub/membership/consul/probe.py
@@ -1,4 +1,4 @@
-"""Asks each agent for each service once: `eiderhub config check --probe`."""
+"""Polls each agent once for each service: `eiderhub config check --probe`."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from eiderhub.sidecar.clock import now_us
 
 
-class Probed(NamedTuple):
-    """What one agent says of one service."""
+class ProbeResult(NamedTuple):
+    """Result of probing one agent for one service. The field names are keys of the command's JSON output."""
 
     agent: str
     service: str
@@ -24,31 +24,34 @@
         return f"probe: {self.agent}: {self.service}: {self.text}"
 
 
-async def probe(options: Options) -> list[Probed]:
-    """One question at a time; never raises for what an agent does."""
-    found = []
+async def probe(options: Options) -> list[ProbeResult]:
+    """Probe all agents, one request at a time. Does not raise for anything that an agent does."""
+    results = []
     for host, port in options.agents:
-        asker = ListClient(options.most)
+        client = ListClient(options.max_response_bytes)
         for service in options.services:
-            sound, text = await _ask(replace(options, agents=((host, port),)), service, asker)
-            found.append(Probed(f"{host}:{port}", service, sound, text))
-        asker.close_connection()
-    return found
+            sound, text = await _probe_service(replace(options, agents=((host, port),)), service, client)
+            results.append(ProbeResult(f"{host}:{port}", service, sound, text))
+        client.close_connection()
+    return results
 
 
-async def _ask(options: Options, service: str, asker: ListClient) -> tuple[bool, str]:
+async def _probe_service(options: Options, service: str, client: ListClient) -> tuple[bool, str]:
     query = Query(options, service)
     try:
-        answer, headers = await fetch(options, query.ask(now_us()), asker)
-        query.answered(now_us(), 200, headers)
+        instances, headers = await fetch(options, query.next_request(now_us()), client)
+        query.on_response(now_us(), 200, headers)
     except (OSError, ValueError, TimeoutError) as error:
-        asker.close_connection()
+        client.close_connection()
         return False, f"{type(error).__name__}: {error}"
-    return bool(answer.entries), ", ".join(_told(answer.refused, [e.endpoint.readiness.value for e in answer.entries]))
+    return (
+        bool(instances.entries),
+        ", ".join(_summary(instances.rejected, [e.endpoint.readiness.value for e in instances.entries])),
+    )
 
 
-def _told(refused: list[str], states: list[str]) -> Iterator[str]:
+def _summary(rejected: list[str], states: list[str]) -> Iterator[str]:
     yield f"{len(states)} instances"
     yield f"{states.count('ready')} of them ready"
-    if refused:
-        yield f"{len(refused)} left out, such as {refused[0]}"
+    if rejected:
+        yield f"{len(rejected)} left out, such as {rejected[0]}"
--- a/eiderhub/membership/endpoint_list.py
+++ b/eiderhub/membership/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Lists of endpoints, as every source tells them, and the platform's own form of one. No I/O."""
+"""Endpoint lists as every source provides them, and the reader of the platform's own format. No I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ListedEndpoint(NamedTuple):
-    """One entry: the endpoint as the module knows it, and where it listens."""
+    """One entry: the endpoint as the decision module knows it, and the address it listens on."""
 
     endpoint: Endpoint
     host: str
@@ -17,19 +17,21 @@
 
 
 class EndpointList(NamedTuple):
+    """One list of the platform: all endpoints if `is_full`, else the changes since an earlier generation."""
+
     generation: int
     is_full: bool
     entries: list[ListedEndpoint]
 
 
-def _labels(metadata: Any) -> frozenset[str]:
-    """What a list says of an endpoint beside the platform's own fields, for the pools that routes name."""
+def _parse_labels(metadata: Any) -> frozenset[str]:
+    """Return an entry's metadata as labels, which the pools of routes select endpoints by."""
     if metadata is None:
         return frozenset()
     return frozenset(f"{name}={value}" for name, value in metadata.items())
 
 
-def _entry(row: Any) -> ListedEndpoint:
+def _parse_entry(row: Any) -> ListedEndpoint:
     host, _, port = row["hostPort"].rpartition(":")
     started_ms = int(row.get("startedAtMs") or 0)
     weight = float(row.get("weight") or 1.0)
@@ -40,9 +42,9 @@
         cell=int(row["cell"]) if row.get("cell") is not None else -1,
         readiness=Readiness(row["lifecycle"]),
         weight=weight if weight > 0 else 1.0,
-        # 0 stands for long ago; the module's clock is monotonic, so a start may lie before its zero.
+        # 0 means long ago. The module's clock is monotonic, so a start may be negative, and 1 replaces an exact 0.
         started_us=started_ms * 1000 - UNIX_OFFSET_US or 1 if started_ms else 0,
-        labels=_labels(row.get("metadata")),
+        labels=_parse_labels(row.get("metadata")),
     )
     if not host:
         raise ValueError("hostPort")
@@ -50,11 +52,11 @@
 
 
 def read_endpoint_list(document: Any) -> EndpointList:
-    """Read a list in discovery's form."""
-    if document is None:  # a sidecar that never had one
+    """Read a decoded list in the platform's format; None is an empty list. Raises ValueError if it is malformed."""
+    if document is None:  # the sidecar has never received a list
         return EndpointList(0, True, [])
     try:
-        entries = [_entry(row) for row in document["instances"]]
+        entries = [_parse_entry(row) for row in document["instances"]]
         return EndpointList(int(document["generation"]), bool(document["reset"]), entries)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise ValueError(f"no list of endpoints ({type(error).__name__}: {error})") from None
+        raise ValueError(f"not a list of endpoints ({type(error).__name__}: {error})") from None
--- a/eiderhub/membership/list_client.py
+++ b/eiderhub/membership/list_client.py
@@ -1,4 +1,4 @@
-"""Asks a server of lists, one question at a time, over one kept connection and with a bound on its answers."""
+"""Requests lists from a server, one request at a time over one persistent connection, with a limit on response size."""
 
 from __future__ import annotations
 
@@ -7,43 +7,48 @@
 from eiderhub.protocols.http1.client import Connection, Response
 from eiderhub.sidecar.resource_limits import ByteBudget
 
-CONNECT_S = 1.0  # and no longer than the answer is waited for: a connection that does not come up is silence too
+CONNECT_TIMEOUT_S = 1.0  # or the request's timeout, if shorter: a connection attempt that hangs counts as silence too
 
 
 class ListClient:
-    """One connection, made anew where the last one has ended."""
+    """Sends requests over one connection, which is opened anew after it has ended."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most  # bytes of an answer's body
-        self._at: tuple[str, int] | None = None
+    def __init__(self, max_body_bytes: int) -> None:
+        self.max_body_bytes = max_body_bytes
+        self._address: tuple[str, int] | None = None
         self._connection: Connection | None = None
-        self._answer: asyncio.Future[Response] | None = None
+        self._response: asyncio.Future[Response] | None = None
 
     async def fetch(self, host: str, port: int, request: bytes, timeout_s: float) -> Response:
-        """Raises OSError and TimeoutError, and ConnectionResetError for what is no answer, or too long."""
+        """Send a request and return its response.
+
+        Raises OSError or TimeoutError if there is none, ConnectionResetError if it is malformed or too long.
+        """
         loop = asyncio.get_running_loop()
-        if self._at != (host, port):
+        if self._address != (host, port):
             self.close_connection()
         if self._connection is None or self._connection.closed:
-            fresh = Connection(self, ByteBudget(self.most), self.most)
-            async with asyncio.timeout(min(CONNECT_S, timeout_s)):
+            fresh = Connection(self, ByteBudget(self.max_body_bytes), self.max_body_bytes)
+            async with asyncio.timeout(min(CONNECT_TIMEOUT_S, timeout_s)):
                 await loop.create_connection(lambda: fresh, host, port)
-            self._connection, self._at = fresh, (host, port)
-        self._answer = loop.create_future()
+            self._connection, self._address = fresh, (host, port)
+        self._response = loop.create_future()
         self._connection.send(request)
         async with asyncio.timeout(timeout_s):
-            return await self._answer
+            return await self._response
 
     def close_connection(self) -> None:
-        """Nothing more is wanted of this connection: an answer on its way would be taken for the next question's."""
+        """Close the connection, since a late response would be taken for that of the next request."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
 
     def on_response(self, link: Connection, attempt: object, response: Response, reusable: bool) -> None:
-        if self._answer is not None and not self._answer.done():
-            self._answer.set_result(response)
+        """Complete the pending request."""
+        if self._response is not None and not self._response.done():
+            self._response.set_result(response)
 
     def on_lost(self, link: Connection) -> None:
-        if self._answer is not None and not self._answer.done():
-            self._answer.set_exception(ConnectionResetError("the connection ended"))
+        """Fail the pending request."""
+        if self._response is not None and not self._response.done():
+            self._response.set_exception(ConnectionResetError("connection closed before a valid response"))
--- a/eiderhub/membership/merger.py
+++ b/eiderhub/membership/merger.py
@@ -1,8 +1,9 @@
-"""Joins what several sources tell of endpoints into one picture: pure, for any sources, without clock or I/O.
+"""Merges the endpoint lists of several sources into one view, without clock or I/O.
 
-An endpoint is its address: two sources that tell of one address tell of one endpoint, whatever ids they give it.
-What each says of it stands until it says otherwise; the most cautious word wins; and a word of caution from a source
-that has fallen silent expires by that source's terms. Silence alone takes nothing away.
+An endpoint is identified by its address: entries of two sources with the same address are one endpoint, whatever ids
+they use. What a source reported about an address holds until that source reports something else. Where sources
+disagree, the most restrictive state wins; a draining or removed state of a source that has been silent for longer than
+its policy allows no longer overrides a ready state of another source. Silence alone never removes an endpoint.
 """
 
 from __future__ import annotations
@@ -13,230 +14,235 @@
 from eiderhub.interface import Endpoint, Readiness
 from eiderhub.membership.endpoint_list import ListedEndpoint
 
-MAX_GONE = 10_000  # addresses of which a source's "gone" is remembered; past that the oldest are forgotten
-CAUTION = {Readiness.READY: 0, Readiness.DRAINING: 1, Readiness.REMOVED: 2}
-MANY = ("service", "tag")  # labels of which an endpoint may have several
+MAX_REMOVED_ADDRESSES = 10_000  # removed addresses that are remembered for each source; the oldest are dropped first
+STATE_RANK = {Readiness.READY: 0, Readiness.DRAINING: 1, Readiness.REMOVED: 2}  # the most restrictive state is highest
+MULTI_VALUED_LABELS = ("service", "tag")  # labels of which an endpoint may have several
 Address = tuple[str, int]
 
 
-class Terms(NamedTuple):
-    """How far a source's word goes. Of several that know an endpoint the first tells its zone and weight."""
+class SourcePolicy(NamedTuple):
+    """A source's name, and how long its restrictive states hold.
+
+    Policies are given in order of precedence: an endpoint's zone and weight come from the first source that lists it.
+    """
 
     name: str
-    # How long a silent source's "draining" or "gone" stands above another's "ready"; 0: for good.
-    caution_us: int = 60_000_000
+    # How long a silent source's draining or removed state overrides another source's ready state; 0: without end.
+    override_us: int = 60_000_000
 
 
-class Step(NamedTuple):
-    """What one word changed: entries for host and module, and what is worth a line in the log, once."""
+class MergeResult(NamedTuple):
+    """What an update changed: entries for the host and the decision module, and new disagreements for the log."""
 
-    changes: list[ListedEndpoint]  # what ends before what begins, so that an id which moves is free in time
-    notes: list[str]
+    changes: list[ListedEndpoint]  # removals first, so that an id that moves to another address is free again
+    conflicts: list[str]
 
 
 class _Source:
-    """What one source has said last, by address and by its own ids."""
+    """The last state that one source reported, by address and by the source's own ids."""
 
-    def __init__(self, terms: Terms) -> None:
-        self.terms = terms
-        self.heard_us = 0
-        self.at: dict[Address, dict[str, ListedEndpoint]] = {}  # several ids may share an address; one may be stale
-        self.where: dict[str, Address] = {}
-        self.gone: dict[Address, int] = {}  # when it said so
+    def __init__(self, policy: SourcePolicy) -> None:
+        self.policy = policy
+        self.last_update_us = 0
+        self.entries_at: dict[Address, dict[str, ListedEndpoint]] = {}  # several ids may share an address: one is stale
+        self.address_of: dict[str, Address] = {}
+        self.removed_at_us: dict[Address, int] = {}
 
-    def put(self, entry: ListedEndpoint, now_us: int) -> Iterator[Address]:
-        """Take one entry in; the addresses of which this source now says something else."""
+    def set_entry(self, entry: ListedEndpoint, now_us: int) -> Iterator[Address]:
+        """Store one entry; yield the addresses that this source now reports differently."""
         name, address = entry.endpoint.id, (entry.host, entry.port)
-        here = self.at.get(address)
-        if here is not None and here.get(name) == entry:
-            return  # as before: what most entries of a long list are
+        entries = self.entries_at.get(address)
+        if entries is not None and entries.get(name) == entry:
+            return  # unchanged, like most entries of a long list
         if entry.endpoint.readiness is Readiness.REMOVED:
-            yield from self.drop(name, now_us)
+            yield from self.remove_id(name, now_us)
             return
-        if self.where.get(name, address) != address:
-            yield from self.drop(name, now_us)
-        self.where[name] = address
-        self.at.setdefault(address, {})[name] = entry
-        self.gone.pop(address, None)
+        if self.address_of.get(name, address) != address:
+            yield from self.remove_id(name, now_us)
+        self.address_of[name] = address
+        self.entries_at.setdefault(address, {})[name] = entry
+        self.removed_at_us.pop(address, None)
         yield address
 
-    def drop(self, name: str, now_us: int) -> Iterator[Address]:
-        """This id is gone; its address only with the last id there."""
-        address = self.where.pop(name, None)
+    def remove_id(self, name: str, now_us: int) -> Iterator[Address]:
+        """Remove an id; its address is removed only with the last id there."""
+        address = self.address_of.pop(name, None)
         if address is None:
             return
-        here = self.at[address]
-        del here[name]
-        if not here:
-            del self.at[address]
-            self.gone.pop(address, None)
-            self.gone[address] = now_us
-            if len(self.gone) > MAX_GONE:
-                del self.gone[next(iter(self.gone))]
+        entries = self.entries_at[address]
+        del entries[name]
+        if not entries:
+            del self.entries_at[address]
+            self.removed_at_us.pop(address, None)
+            self.removed_at_us[address] = now_us
+            if len(self.removed_at_us) > MAX_REMOVED_ADDRESSES:
+                del self.removed_at_us[next(iter(self.removed_at_us))]
         yield address
 
-    def says(self, address: Address) -> Readiness | None:
-        """Its word on an address, None where it has none. Of several ids there, the most cautious."""
-        here = self.at.get(address)
-        if here:
-            return max((entry.endpoint.readiness for entry in here.values()), key=CAUTION.__getitem__)
-        return Readiness.REMOVED if address in self.gone else None
+    def state_of(self, address: Address) -> Readiness | None:
+        """Return the most restrictive state of the ids at an address, or None if the source does not know it."""
+        entries = self.entries_at.get(address)
+        if entries:
+            return max((entry.endpoint.readiness for entry in entries.values()), key=STATE_RANK.__getitem__)
+        return Readiness.REMOVED if address in self.removed_at_us else None
 
-    def caution_ends_us(self) -> int | None:
-        """Until when its caution stands above another's word, if it stays silent; None: for good."""
-        return self.heard_us + self.terms.caution_us if self.terms.caution_us else None
+    def override_ends_us(self) -> int | None:
+        """Return when this source's restrictive states stop overriding others if it stays silent; None: never."""
+        return self.last_update_us + self.policy.override_us if self.policy.override_us else None
 
 
 class Merger:
-    """One picture of many sources. Times are microseconds of the clock on which endpoints' starts are told."""
+    """The merged view of several sources. Times are microseconds of the clock that endpoints' starts refer to."""
 
-    def __init__(self, sources: Iterable[Terms]) -> None:
-        """Raises ValueError where two sources share a name."""
+    def __init__(self, policies: Iterable[SourcePolicy]) -> None:
+        """Raises ValueError if two sources have the same name."""
         self._sources: dict[str, _Source] = {}
-        for terms in sources:
-            if terms.name in self._sources:
-                raise ValueError(f"two sources are named {terms.name}")
-            self._sources[terms.name] = _Source(terms)
-        self.picture: dict[Address, ListedEndpoint] = {}  # what is in force
-        self._ids: dict[str, Address] = {}
-        self._parted: dict[Address, tuple[tuple[str, Readiness], ...]] = {}  # disagreements that were told
-
-    def tell(self, source: str, now_us: int, whole: bool, entries: Iterable[ListedEndpoint]) -> Step:
-        """A source has spoken. A whole list says gone of all that it leaves out. Raises KeyError for no source."""
-        teller = self._sources[source]
-        teller.heard_us = now_us
-        told = list(entries)
+        for policy in policies:
+            if policy.name in self._sources:
+                raise ValueError(f"two sources are named {policy.name}")
+            self._sources[policy.name] = _Source(policy)
+        self.endpoints: dict[Address, ListedEndpoint] = {}  # the merged view
+        self._address_of: dict[str, Address] = {}  # by merged id
+        self._conflicts: dict[Address, tuple[tuple[str, Readiness], ...]] = {}  # disagreements already reported
+
+    def update(self, source: str, now_us: int, is_full: bool, entries: Iterable[ListedEndpoint]) -> MergeResult:
+        """Apply a source's update; a full list removes what it leaves out. Raises KeyError for an unknown source."""
+        updated = self._sources[source]
+        updated.last_update_us = now_us
+        received = list(entries)
         touched: dict[Address, None] = {}
-        if whole:
-            touched = self._missing(teller, now_us, {entry.endpoint.id for entry in told})
-        for entry in told:
-            touched.update(dict.fromkeys(teller.put(entry, now_us)))
-        # Having spoken, it stands by its caution again.
-        touched.update(dict.fromkeys(address for address in self._parted if teller.says(address) is not None))
-        return self._settle(touched, now_us)
-
-    def left_out(self, source: str, now_us: int, names: set[str]) -> Step:
-        """A whole list has come that holds these ids, to be told in parts: what it leaves out is gone already now."""
-        teller = self._sources[source]
-        teller.heard_us = now_us
-        return self._settle(self._missing(teller, now_us, names), now_us)
+        if is_full:
+            touched = self._remove_unlisted(updated, now_us, {entry.endpoint.id for entry in received})
+        for entry in received:
+            touched.update(dict.fromkeys(updated.set_entry(entry, now_us)))
+        # The update renews the overrides of this source, also those that had expired.
+        touched.update(dict.fromkeys(address for address in self._conflicts if updated.state_of(address) is not None))
+        return self._recompute(touched, now_us)
+
+    def remove_unlisted(self, source: str, now_us: int, names: set[str]) -> MergeResult:
+        """Remove what a full list with these ids leaves out, before the list itself is applied in parts."""
+        updated = self._sources[source]
+        updated.last_update_us = now_us
+        return self._recompute(self._remove_unlisted(updated, now_us, names), now_us)
 
     @staticmethod
-    def _missing(teller: _Source, now_us: int, names: set[str]) -> dict[Address, None]:
+    def _remove_unlisted(source: _Source, now_us: int, names: set[str]) -> dict[Address, None]:
         touched: dict[Address, None] = {}
-        for name in teller.where.keys() - names:
-            touched.update(dict.fromkeys(teller.drop(name, now_us)))
+        for name in source.address_of.keys() - names:
+            touched.update(dict.fromkeys(source.remove_id(name, now_us)))
         return touched
 
-    def heard(self, source: str, now_us: int) -> Step:
-        """A source has answered that nothing is new: its words stand. Raises KeyError for no source."""
-        return self.tell(source, now_us, False, ())
+    def confirm(self, source: str, now_us: int) -> MergeResult:
+        """Record that a source answered without changes, so its states hold. Raises KeyError for an unknown source."""
+        return self.update(source, now_us, False, ())
 
-    def tick(self, now_us: int) -> Step:
-        """Let words of caution expire."""
-        return self._settle(dict.fromkeys(self._parted), now_us)
+    def expire(self, now_us: int) -> MergeResult:
+        """Apply the overrides that have expired."""
+        return self._recompute(dict.fromkeys(self._conflicts), now_us)
 
-    def due_us(self, now_us: int) -> int | None:
-        """When `tick` may change something, None: never. Only where sources disagree can a word's end matter."""
+    def next_expiry_us(self, now_us: int) -> int | None:
+        """Return when `expire` may change something, None: never. Only where sources disagree does an expiry matter."""
         ends = [
-            source.caution_ends_us()
-            for address in self._parted
+            source.override_ends_us()
+            for address in self._conflicts
             for source in self._sources.values()
-            if source.says(address) not in (None, Readiness.READY)
+            if source.state_of(address) not in (None, Readiness.READY)
         ]
         return min((end for end in ends if end is not None and end > now_us), default=None)
 
-    def words(self, address: Address) -> dict[str, Readiness]:
-        """What each source that knows an address says of it, in order of precedence."""
-        found = ((name, source.says(address)) for name, source in self._sources.items())
-        return {name: word for name, word in found if word is not None}
+    def reported_states(self, address: Address) -> dict[str, Readiness]:
+        """Return the state that each source reports for an address it knows, in order of precedence."""
+        found = ((name, source.state_of(address)) for name, source in self._sources.items())
+        return {name: state for name, state in found if state is not None}
 
     # --- one address ---
 
-    def _settle(self, touched: dict[Address, None], now_us: int) -> Step:
-        ends, begins, notes = [], [], []
+    def _recompute(self, touched: dict[Address, None], now_us: int) -> MergeResult:
+        removals, updates, conflicts = [], [], []
         for address in touched:
-            entry = self._entry(address, now_us)
-            if note := self._note(address):
-                notes.append(note)
-            old = self.picture.get(address)
+            entry = self._merge_entries(address, now_us)
+            if conflict := self._new_conflict(address):
+                conflicts.append(conflict)
+            old = self.endpoints.get(address)
             if entry is None:
                 if old is not None:
-                    del self.picture[address]
-                    del self._ids[old.endpoint.id]
-                    ends.append(old._replace(endpoint=old.endpoint._replace(readiness=Readiness.REMOVED)))
+                    del self.endpoints[address]
+                    del self._address_of[old.endpoint.id]
+                    removals.append(old._replace(endpoint=old.endpoint._replace(readiness=Readiness.REMOVED)))
             elif entry != old:
-                begins.append(entry)
-        return Step(ends + [self._placed(entry) for entry in begins], notes)
+                updates.append(entry)
+        return MergeResult(removals + [self._store(entry) for entry in updates], conflicts)
 
-    def _placed(self, entry: ListedEndpoint) -> ListedEndpoint:
-        """Into the picture, under the id that its address has, or one that no other address has."""
+    def _store(self, entry: ListedEndpoint) -> ListedEndpoint:
+        """Put an entry into the merged view under its address's id, or under one that no other address has."""
         address = (entry.host, entry.port)
         name = entry.endpoint.id
-        if self._ids.get(name, address) != address:
+        if self._address_of.get(name, address) != address:
             name = f"{name}@{address[0]}:{address[1]}"
-        placed = entry._replace(endpoint=entry.endpoint._replace(id=name))
-        self.picture[address] = placed
-        self._ids[name] = address
-        return placed
-
-    def _entry(self, address: Address, now_us: int) -> ListedEndpoint | None:
-        """What holds of an address now; None: it is gone, or nobody ever told of it."""
-        known = [source.at[address] for source in self._sources.values() if address in source.at]
-        word = self._word(address, now_us)
-        if not known or word is Readiness.REMOVED:
+        stored = entry._replace(endpoint=entry.endpoint._replace(id=name))
+        self.endpoints[address] = stored
+        self._address_of[name] = address
+        return stored
+
+    def _merge_entries(self, address: Address, now_us: int) -> ListedEndpoint | None:
+        """Return the merged entry of an address, or None if it is removed or was never listed."""
+        known = [source.entries_at[address] for source in self._sources.values() if address in source.entries_at]
+        state = self._merge_states(address, now_us)
+        if not known or state is Readiness.REMOVED:
             return None
-        entries = [entry for here in known for entry in here.values()]
-        first = entries[0]  # of the source that comes first
-        old = self.picture.get(address)
+        entries = [entry for by_id in known for entry in by_id.values()]
+        first = entries[0]  # of the source with the highest precedence
+        old = self.endpoints.get(address)
         endpoint: Endpoint = first.endpoint._replace(
             id=old.endpoint.id if old is not None else first.endpoint.id,
-            readiness=word,
-            # The latest start that anyone tells: rule 4 asks for the most caution with what may be cold.
-            started_us=self._started_us(address),
-            labels=_labels(entries),
+            readiness=state,
+            # The latest reported start, so that an endpoint that may be cold gets a slow start and is not overloaded.
+            started_us=self._latest_start_us(address),
+            labels=_merge_labels(entries),
         )
         return first._replace(endpoint=endpoint)
 
-    def _word(self, address: Address, now_us: int) -> Readiness:
-        """The most cautious word that stands. What has expired is heard where nothing else is."""
-        standing: list[Readiness] = []
+    def _merge_states(self, address: Address, now_us: int) -> Readiness:
+        """Return the most restrictive state that is in force; expired ones count only where there is no other."""
+        in_force: list[Readiness] = []
         expired: list[Readiness] = []
         for source in self._sources.values():
-            word = source.says(address)
-            if word is None:
+            state = source.state_of(address)
+            if state is None:
                 continue
-            ends_us = source.caution_ends_us()
-            over = word is not Readiness.READY and ends_us is not None and ends_us <= now_us
-            # An address that a new process has taken: the word was about the one before.
-            over = over or (word is Readiness.REMOVED and self._started_us(address) > source.gone[address])
-            (expired if over else standing).append(word)
-        return max(standing or expired, key=CAUTION.__getitem__, default=Readiness.REMOVED)
-
-    def _started_us(self, address: Address) -> int:
-        """The latest start that any source tells of what listens there."""
-        known = (source.at.get(address, {}) for source in self._sources.values())
-        return max((entry.endpoint.started_us for here in known for entry in here.values()), default=0)
-
-    def _note(self, address: Address) -> str | None:
-        """A line where sources have begun to disagree on an address, or do so in another way; none twice."""
-        words = tuple(self.words(address).items())
-        if len({word for _, word in words}) < 2:
-            self._parted.pop(address, None)
+            ends_us = source.override_ends_us()
+            is_expired = state is not Readiness.READY and ends_us is not None and ends_us <= now_us
+            # A new process has taken the address since: the removal was that of the previous one.
+            is_expired = is_expired or (
+                state is Readiness.REMOVED and self._latest_start_us(address) > source.removed_at_us[address]
+            )
+            (expired if is_expired else in_force).append(state)
+        return max(in_force or expired, key=STATE_RANK.__getitem__, default=Readiness.REMOVED)
+
+    def _latest_start_us(self, address: Address) -> int:
+        """Return the latest start that any source reports for the process at an address."""
+        known = (source.entries_at.get(address, {}) for source in self._sources.values())
+        return max((entry.endpoint.started_us for by_id in known for entry in by_id.values()), default=0)
+
+    def _new_conflict(self, address: Address) -> str | None:
+        """Return a log line if sources now disagree on an address in a way that has not been reported yet."""
+        states = tuple(self.reported_states(address).items())
+        if len({state for _, state in states}) < 2:
+            self._conflicts.pop(address, None)
             return None
-        if self._parted.get(address) == words:
+        if self._conflicts.get(address) == states:
             return None
-        self._parted[address] = words
-        told = ", ".join(f"{name} says {word.value}" for name, word in words)
-        return f"{address[0]}:{address[1]}: {told}"
+        self._conflicts[address] = states
+        listed = ", ".join(f"{name} reports {state.value}" for name, state in states)
+        return f"{address[0]}:{address[1]}: {listed}"
 
 
-def _labels(entries: Iterable[ListedEndpoint]) -> frozenset[str]:
-    """All labels, but that a fact is told by the first that knows it. An endpoint may have many tags and services."""
-    found: set[str] = set()
-    names: set[str] = set()
+def _merge_labels(entries: Iterable[ListedEndpoint]) -> frozenset[str]:
+    """Return all tags and services; any other label is taken from the first entry that has one of that name."""
+    merged: set[str] = set()
+    known_names: set[str] = set()
     for entry in entries:
-        told = {label: label.partition("=")[0] for label in entry.endpoint.labels}
-        found |= {label for label, name in told.items() if name in MANY or name not in names}
-        names |= set(told.values())
-    return frozenset(found)
+        names = {label: label.partition("=")[0] for label in entry.endpoint.labels}
+        merged |= {label for label, name in names.items() if name in MULTI_VALUED_LABELS or name not in known_names}
+        known_names |= set(names.values())
+    return frozenset(merged)
--- a/eiderhub/membership/poll_schedule.py
+++ b/eiderhub/membership/poll_schedule.py
@@ -1,8 +1,9 @@
-"""How long each question to discovery may take, and what follows one that failed: pure.
+"""Decides how long each request to discovery may take, and what follows one that failed. No I/O.
 
-The platform's clock (a watch that falls silent says nothing of it): what it missed counts as told 6 s after the silence
-began, or 2 s after the wait that was asked for, if that is later; and the settings' grace after that nothing new may go
-to what drains. So silence has to be noticed, and the list asked for again with time for a slow answer, within that.
+The platform's rule for a watch that stops answering: a change that it missed counts as notified 6 s after the silence
+began, or 2 s after the end of the requested wait, whichever is later. Once the settings' grace has passed after that,
+nothing new may be sent to a draining endpoint. Within that time the silence must therefore be detected and the list be
+requested again, with time left for a slow answer.
 """
 
 from __future__ import annotations
@@ -10,80 +11,95 @@
 import random
 from typing import NamedTuple
 
-# How long a watch waits: discovery works through its calls in turn, so they should be few. Each copy has its own place
-# between these: where all watches fall silent at once, all are asked for anew, and one service takes them one by one.
-WAIT_MS = (10_000, 30_000)
-LATE_S = 0.4  # how late the answer of a watch may be: the rest of the 2 s, and the grace, are for asking again
-CHECKS = 3  # questions that follow a silent watch without a wait: each is answered or has failed
-RECHECK_TIMEOUT_S = 1.5  # patience with each of those: one that is given up loses its turn
-REFUSED_S = 0.25  # pause after one that was refused
-WHOLE_S = 2.5  # patience with a question for the whole list: all copies ask at once after a reload, and wait in turn
-PAUSE_S = (0.25, 1.0)  # first and longest pause where the whole list is still owed: it counts 4 s after SIGHUP
-MIN_GRACE_US = 250_000  # of the grace that questions are paced by: with less an agent would be asked without rest
-PUSHED_WAIT = 0.4  # of the grace, how long a watch of a local agent waits: what it gets counts as told at once
-PUSHED_LATE = 0.25  # of the grace, the patience with such an agent, and the pause after a failure
+# Shortest and longest wait of a watch. Discovery serves its requests one after another, so they should be few. Each
+# instance has its own wait between these: if all watches fall silent at once, their new requests are spread.
+WATCH_WAIT_MS = (10_000, 30_000)
+WATCH_SLACK_S = 0.4  # how late a watch's answer may be; the rest of the 2 s and the grace are left for another request
+MAX_RECHECKS = 3  # requests without a wait that follow a silent watch; each is answered or fails
+RECHECK_TIMEOUT_S = 1.5  # a request that is given up loses its position in discovery's queue
+REFUSED_PAUSE_S = 0.25  # pause after a recheck that was refused
+FULL_LIST_TIMEOUT_S = 2.5  # after a reload all instances request the full list at once and are served one by one
+FULL_LIST_PAUSE_S = (0.25, 1.0)  # first and longest pause until the full list has come: it counts 4 s after SIGHUP
+MIN_GRACE_US = 250_000  # with a shorter one the requests to an agent would follow each other without a pause
+AGENT_WAIT_SHARE = 0.4  # of the grace, the wait of a watch of a local agent: its answer counts as notified at once
+AGENT_TIMEOUT_SHARE = 0.25  # of the grace, the timeout beyond that wait, and the longest pause after a failure
 
 
 class PollRequest(NamedTuple):
-    is_full: bool  # the whole list, and not what has changed since the version that is held
+    """One request to discovery."""
+
+    is_full: bool  # whether the full list is requested, rather than the changes since the current version
     wait_ms: int
     timeout_s: float
 
 
 class PollSchedule:
-    """What to ask next of one address; times are seconds from now."""
+    """Chooses the next request to one address of discovery. Times are seconds from now."""
 
     def __init__(
-        self, pushed: bool, grace_us: int, rng: random.Random, place: float, every_us: int = WAIT_MS[0] * 1000
+        self,
+        uses_local_agent: bool,
+        grace_us: int,
+        rng: random.Random,
+        offset: float,
+        poll_interval_us: int = WATCH_WAIT_MS[0] * 1000,
     ) -> None:
-        self.pushed = pushed  # an agent on this machine answers at once, at no cost, and nobody else asks again
+        self.uses_local_agent = uses_local_agent  # it answers at once and at no cost, and only this schedule retries
         self.grace_s = grace_us / 1e6
         self.rng = rng
-        self.place = place  # of this copy among all, in 0..1
-        self.every_us = every_us  # how long a list may be gone by that nobody has asked for, by the settings
-        self.needs_full_list = False  # the address is new, or its versions are: it owes the whole list
-        self._checks = 0  # questions asked since a watch fell silent
+        self.offset = offset  # of this instance among all, in 0..1
+        self.poll_interval_us = poll_interval_us  # from the settings: how long a list may be used without a request
+        self.needs_full_list = False  # the address or its versions are new, so changes would not be enough
+        self._rechecks = 0  # requests since a watch fell silent
         self._failures = 0  # in a row
 
     def for_new_address(self) -> PollSchedule:
-        """For another address, of which nothing is known yet."""
-        other = PollSchedule(self.pushed, int(self.grace_s * 1e6), self.rng, self.place, self.every_us)
+        """Return a schedule for another address, which starts with the full list."""
+        other = PollSchedule(
+            self.uses_local_agent, int(self.grace_s * 1e6), self.rng, self.offset, self.poll_interval_us
+        )
         other.needs_full_list = True
         return other
 
     def next_poll(self) -> PollRequest:
+        """Return the request to send next."""
         if self.needs_full_list:
-            return PollRequest(True, 0, self._agent_s if self.pushed else WHOLE_S)
-        if self.pushed:
-            wait_s = 0.0 if self._failures else PUSHED_WAIT * self.grace_s
-            return PollRequest(False, int(wait_s * 1000), wait_s + self._agent_s)
-        if self._checks:
+            return PollRequest(True, 0, self._agent_timeout_s if self.uses_local_agent else FULL_LIST_TIMEOUT_S)
+        if self.uses_local_agent:
+            wait_s = 0.0 if self._failures else AGENT_WAIT_SHARE * self.grace_s
+            return PollRequest(False, int(wait_s * 1000), wait_s + self._agent_timeout_s)
+        if self._rechecks:
             return PollRequest(False, 0, RECHECK_TIMEOUT_S)
-        # A watch that fails at its end asked that long ago: less than four times what the settings give.
-        least, most = (min(wait, part * self.every_us // 1000) for wait, part in zip(WAIT_MS, (1, 3), strict=True))
-        wait_ms = int(least + self.place * (most - least))
-        return PollRequest(False, wait_ms, wait_ms / 1000 + LATE_S)
+        # A watch that fails at its end leaves a list as old as its wait, and a list may be used for four intervals.
+        min_wait, max_wait = (
+            min(wait, part * self.poll_interval_us // 1000) for wait, part in zip(WATCH_WAIT_MS, (1, 3), strict=True)
+        )
+        wait_ms = int(min_wait + self.offset * (max_wait - min_wait))
+        return PollRequest(False, wait_ms, wait_ms / 1000 + WATCH_SLACK_S)
 
     @property
-    def _agent_s(self) -> float:
-        return PUSHED_LATE * self.grace_s
+    def _agent_timeout_s(self) -> float:
+        return AGENT_TIMEOUT_SHARE * self.grace_s
 
     def succeeded(self) -> None:
+        """Record an answer that was taken."""
         self.needs_full_list = False
-        self._checks = self._failures = 0
+        self._rechecks = self._failures = 0
 
-    def failed(self, silent: bool) -> float | None:
-        """The pause before the next question; None: the watch has ended, and when to ask again is for others to say.
+    def failed(self, timed_out: bool) -> float | None:
+        """Return the pause before the next request, or None if the watch has ended and the caller has to back off.
 
-        Danger: all copies' watches may fall silent, or be refused, at once. Those that check ask a few times each at
-        the most, and then fall back to the module's back-off.
+        The watches of all instances may time out or be refused at once. Each instance therefore rechecks only a few
+        times and then falls back to the decision module's backoff.
         """
         self._failures += 1
-        if self.needs_full_list or self.pushed:
-            first, most = (self._agent_s / 4, self._agent_s) if self.pushed else PAUSE_S
-            return min(first * 2.0 ** min(self._failures - 1, 10), most) * self.rng.uniform(0.5, 1.5)
-        if (silent or self._checks) and self._checks < CHECKS:
-            self._checks += 1
-            return 0.0 if silent else REFUSED_S * self.rng.uniform(0.5, 1.5)
-        self._checks = self._failures = 0
+        if self.needs_full_list or self.uses_local_agent:
+            first, longest = (
+                (self._agent_timeout_s / 4, self._agent_timeout_s) if self.uses_local_agent else FULL_LIST_PAUSE_S
+            )
+            return min(first * 2.0 ** min(self._failures - 1, 10), longest) * self.rng.uniform(0.5, 1.5)
+        if (timed_out or self._rechecks) and self._rechecks < MAX_RECHECKS:
+            self._rechecks += 1
+            return 0.0 if timed_out else REFUSED_PAUSE_S * self.rng.uniform(0.5, 1.5)
+        self._rechecks = self._failures = 0
         return None
--- a/eiderhub/membership/source_aggregator.py
+++ b/eiderhub/membership/source_aggregator.py
@@ -1,4 +1,4 @@
-"""Joins the platform's list with other sources before the host hears of either: the thin edge of the merger."""
+"""Feeds the lists of the platform and of other sources to a merger, and passes its changes on to the host."""
 
 from __future__ import annotations
 
@@ -9,74 +9,77 @@
 
 from eiderhub.interface import ListForm, Readiness
 from eiderhub.membership.endpoint_list import ListedEndpoint
-from eiderhub.membership.merger import Merger, Step, Terms
+from eiderhub.membership.merger import Merger, MergeResult, SourcePolicy
 from eiderhub.sidecar.clock import Timer, now_us
 
 PLATFORM = "platform"
-SLICE = 200  # entries that are taken in without a look at what else there is to do: some 3 ms
+BATCH_SIZE = 200  # entries that are applied before the event loop runs other tasks: about 3 ms
 Deliver = Callable[[ListForm, list[ListedEndpoint]], None]
 log = logging.getLogger(__name__)
 
 
 class SourceAggregator:
-    """What sources tell goes in; what has changed in the one picture of them goes on, at once."""
+    """Merges the lists of the platform and of other sources, and delivers each change of the merged view at once."""
 
-    def __init__(self, others: Iterable[Terms], deliver: Deliver) -> None:
-        self.merger = Merger([Terms(PLATFORM, 0), *others])  # the platform's caution never expires
+    def __init__(self, others: Iterable[SourcePolicy], deliver: Deliver) -> None:
+        self.merger = Merger([SourcePolicy(PLATFORM, 0), *others])  # the platform's states override without end
         self.deliver = deliver
-        self._alarm: Timer | None = None
+        self._expiry_timer: Timer | None = None
 
-    def platform(self, form: ListForm, entries: list[ListedEndpoint]) -> None:
-        """A list or a change of the platform's. The module learns of each answer, also of one without a change."""
+    def on_platform_list(self, form: ListForm, entries: list[ListedEndpoint]) -> None:
+        """Apply an answer of the platform and deliver it even without a change: it tells the module that polls work."""
         if form is ListForm.FAILED:
             self.deliver(form, entries)
             return
-        whole = form is not ListForm.DELTA
-        step = self.merger.tell(PLATFORM, now_us(), whole, entries)
-        self._told(form, step, list(self.merger.picture.values()) if whole else step.changes)
-        self._watch()
+        is_full = form is not ListForm.DELTA
+        result = self.merger.update(PLATFORM, now_us(), is_full, entries)
+        self._deliver(form, result, list(self.merger.endpoints.values()) if is_full else result.changes)
+        self._schedule_expiry()
 
-    async def told(self, source: str, entries: list[ListedEndpoint]) -> None:
-        """All that another source lists now.
+    async def on_source_list(self, source: str, entries: list[ListedEndpoint]) -> None:
+        """Apply a full list of another source, in batches: thousands of new entries would delay every request.
 
-        In slices, for thousands of new entries would hold up every request. Rule 3: what is gone goes with the first
-        step, what drains with the next ones, and only then what is ready.
+        Removed endpoints go first, then draining ones, then ready ones, so that nothing new is sent to a draining or
+        removed endpoint once the notification's grace has passed.
         """
-        self._changed(self.merger.left_out(source, now_us(), {entry.endpoint.id for entry in entries}))
+        self._deliver_changes(self.merger.remove_unlisted(source, now_us(), {entry.endpoint.id for entry in entries}))
         ordered = sorted(entries, key=lambda entry: entry.endpoint.readiness is Readiness.READY)
-        for begin in range(0, len(ordered), SLICE):
-            self._changed(self.merger.tell(source, now_us(), False, ordered[begin : begin + SLICE]))
+        for begin in range(0, len(ordered), BATCH_SIZE):
+            self._deliver_changes(self.merger.update(source, now_us(), False, ordered[begin : begin + BATCH_SIZE]))
             await asyncio.sleep(0)
-        self._watch()
+        self._schedule_expiry()
 
-    def _changed(self, step: Step) -> None:
-        if step.changes or step.notes:
-            self._told(ListForm.DELTA, step, step.changes)
+    def _deliver_changes(self, result: MergeResult) -> None:
+        if result.changes or result.conflicts:
+            self._deliver(ListForm.DELTA, result, result.changes)
 
-    def _told(self, form: ListForm, step: Step, entries: list[ListedEndpoint]) -> None:
-        for note in step.notes:
-            log.warning("sources disagree: %s", note)
+    def _deliver(self, form: ListForm, result: MergeResult, entries: list[ListedEndpoint]) -> None:
+        for conflict in result.conflicts:
+            log.warning("sources disagree: %s", conflict)
         self.deliver(form, entries)
 
-    def _watch(self) -> None:
-        """Ring when a word of caution ends, if that may change anything."""
-        if self._alarm is not None:
-            self._alarm.cancel()
-        due_us = self.merger.due_us(now_us())
-        self._alarm = None if due_us is None else Timer(due_us, self._expire)
+    def _schedule_expiry(self) -> None:
+        """Set a timer for the next expiry of an override that may change the merged view."""
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
+        due_us = self.merger.next_expiry_us(now_us())
+        self._expiry_timer = None if due_us is None else Timer(due_us, self._expire)
 
     def _expire(self) -> None:
-        step = self.merger.tick(now_us())
-        self._changed(step)
-        self._watch()
+        result = self.merger.expire(now_us())
+        self._deliver_changes(result)
+        self._schedule_expiry()
 
 
 def add_consul_source(options: Any, host: Any) -> Any:
-    """Put Consul beside the platform's list, before a host that has not started yet; what is to be started then."""
-    from eiderhub.membership.consul.client import Consul
+    """Merge Consul's lists with those of the platform, for a host that has not started yet.
 
-    joined = SourceAggregator(
-        [Terms(f"consul:{service}", options.caution_us) for service in options.services], host.on_list
+    Returns the Consul source, which is to be started after the host.
+    """
+    from eiderhub.membership.consul.client import ConsulSource
+
+    aggregator = SourceAggregator(
+        [SourcePolicy(f"consul:{service}", options.override_us) for service in options.services], host.on_list
     )
-    host.list_receiver = joined.platform
-    return Consul(options, lambda service, entries: joined.told(f"consul:{service}", entries))
+    host.list_receiver = aggregator.on_platform_list
+    return ConsulSource(options, lambda service, entries: aggregator.on_source_list(f"consul:{service}", entries))
--- a/eiderhub/membership/watch_suspicion.py
+++ b/eiderhub/membership/watch_suspicion.py
@@ -1,40 +1,41 @@
-"""When a watch that says nothing is doubted: endpoints that it lists as ready refuse connections. Pure.
+"""Decides when a silent watch is suspected to have failed: endpoints that it lists as ready refuse connections. No I/O.
 
-Danger: a watch that has fallen silent is noticed when its wait is over, which is up to half a minute, since discovery
-takes few calls. Where endpoints are replaced meanwhile, those that are left here carry everything.
+A watch that has stopped answering is noticed only when its wait is over, up to half a minute later, since discovery can
+serve few requests. If endpoints are replaced meanwhile, the few that are left would carry all of the load.
 """
 
 from __future__ import annotations
 
-REFUSING = 2  # endpoints that have to refuse: one alone has crashed, or is just going
-TURN_US = 40_000  # for each copy, over how long all of them ask: discovery takes them one by one
-MOST_TURNS_US = 4_000_000  # past that a question is no better than the end of the wait
-REST = 0.25  # of the time that the settings give for asking: the first pause after a question that found nothing new
+MIN_REFUSING_ENDPOINTS = 2  # a single one may have crashed or be shutting down
+SLOT_US = 40_000  # for each instance, so that polls of all instances are spread: discovery serves them one by one
+MAX_SPREAD_US = 4_000_000  # with a longer delay a poll is no better than the end of the wait
+FIRST_PAUSE_SHARE = 0.25  # of the poll interval: the first pause after a poll that found no change
 
 
 class WatchSuspicion:
-    """Times are microseconds of one clock."""
+    """Suspicion against one watch. Times are microseconds of one clock."""
 
-    def __init__(self, place: float, copies: int, every_us: int) -> None:
-        self.delay_us = int(place * min(copies * TURN_US, MOST_TURNS_US))
-        self.least_us, self.most_us = int(REST * every_us), every_us
-        self._rest_us = self.least_us
+    def __init__(self, offset: float, instances: int, poll_interval_us: int) -> None:
+        """`offset` is this instance's position among all that poll the same discovery, from 0 to 1."""
+        self.delay_us = int(offset * min(instances * SLOT_US, MAX_SPREAD_US))
+        self.min_pause_us, self.max_pause_us = int(FIRST_PAUSE_SHARE * poll_interval_us), poll_interval_us
+        self._pause_us = self.min_pause_us
         self._refusing: set[str] = set()
         self._not_before_us = 0
 
-    def connection_refused(self, endpoint: str, now: int) -> bool:
-        """A listed endpoint has refused a connection; whether discovery is to be asked once our turn has come."""
-        if now < self._not_before_us:
+    def connection_refused(self, endpoint: str, now_us: int) -> bool:
+        """Record that a listed endpoint refused a connection; return whether to poll discovery after `delay_us`."""
+        if now_us < self._not_before_us:
             return False
         self._refusing.add(endpoint)
-        return len(self._refusing) >= REFUSING
+        return len(self._refusing) >= MIN_REFUSING_ENDPOINTS
 
     def clear(self) -> None:
-        """The watch has spoken, or ended: what refused before proves nothing of it."""
+        """Drop earlier refusals, which prove nothing once the watch has answered or ended."""
         self._refusing.clear()
 
-    def polled(self, now: int, news: bool) -> None:
-        """Discovery may know no better for seconds: what found nothing is asked ever less often."""
+    def polled(self, now_us: int, found_change: bool) -> None:
+        """Record a poll. Discovery may be outdated for seconds itself, so the pause grows while nothing is found."""
         self._refusing.clear()
-        self._rest_us = self.least_us if news else min(2 * self._rest_us, self.most_us)
-        self._not_before_us = now + self._rest_us
+        self._pause_us = self.min_pause_us if found_change else min(2 * self._pause_us, self.max_pause_us)
+        self._not_before_us = now_us + self._pause_us
--- a/standins/consul.py
+++ b/standins/consul.py
@@ -1,6 +1,6 @@
-"""A stand-in for Consul's agents: the health API over HTTP, with blocking queries, and a script of what goes wrong.
+"""A stand-in for Consul agents: health API and catalogue over HTTP, with blocking queries and scripted faults.
 
-Source of its answers' form: Consul's HTTP API, "Health" and "Blocking queries".
+Source of the response format: Consul's HTTP API, "Health" and "Blocking queries".
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def instance(service: str, address: str, status: str = "passing", node: str = "n1", **meta: str) -> dict[str, Any]:
-    """One row of `/v1/health/service/:name`."""
+    """Return one row of `/v1/health/service/:name`."""
     host, _, port = address.rpartition(":")
     name = f"{service}-{port}"
     check = {
@@ -35,16 +35,16 @@
 
 
 class Consul(Answering):
-    """One agent. `set` changes a service and wakes the questions that wait for it; `script` answers before that."""
+    """One agent. `set` changes a service and wakes the requests that wait for it; scripted responses come first."""
 
     def __init__(self) -> None:
         super().__init__()
         self.index = 1
         self.services: dict[str, list[dict[str, Any]]] = {}
-        self.token: str | None = None  # that questions must bear
-        self.scripted: list[bytes] = []  # whole answers, each given once and at once
-        self.requests: list[str] = []  # targets, in order
-        self.answered_at: list[float] = []  # monotonic seconds: when the last byte of each answer was handed on
+        self.token: str | None = None  # required of requests, if set
+        self.scripted: list[bytes] = []  # complete responses, each sent once and without a wait
+        self.requests: list[str] = []  # their targets, in order of arrival
+        self.answered_at: list[float] = []  # monotonic seconds, when each response was ready to be written
         self._changed = asyncio.Event()
 
     async def start(self) -> Consul:
@@ -52,13 +52,14 @@
         return self
 
     def set(self, service: str, *rows: dict[str, Any]) -> None:
+        """Replace a service's instances and increment the index."""
         self.index += 1
         self.services[service] = list(rows)
         self._wake()
 
-    def respond_with(self, *answers: bytes) -> None:
-        """Answer with these next, whatever is asked."""
-        self.scripted += answers
+    def respond_with(self, *responses: bytes) -> None:
+        """Send these responses next, whatever is requested."""
+        self.scripted += responses
         self._wake()
 
     def _wake(self) -> None:
@@ -67,18 +68,18 @@
 
     async def reply(self, message: Message) -> bytes:
         self.requests.append(message.target)
-        told = await self._reply(message)
+        response = await self._respond(message)
         self.answered_at.append(time.monotonic())
-        return told
+        return response
 
-    async def _reply(self, message: Message) -> bytes:
+    async def _respond(self, message: Message) -> bytes:
         if self.token is not None and message.headers.get("x-consul-token") != self.token:
             return answer(403, b"Permission denied: token with AccessorID '00000000' lacks permission")
         target = urlsplit(message.target)
         query = parse_qs(target.query)
         service = unquote(target.path.rpartition("/")[2])
-        wanted = int(query.get("index", ["0"])[0])
-        if not self.scripted and wanted >= self.index:
+        known_index = int(query.get("index", ["0"])[0])
+        if not self.scripted and known_index >= self.index:
             changed = self._changed
             try:
                 async with asyncio.timeout(_seconds(query.get("wait", ["300s"])[0])):
@@ -87,21 +88,21 @@
                 pass
         if self.scripted:
             return self.scripted.pop(0)
-        return self.listed(service, catalogue="/catalog/" in target.path)
+        return self.response(service, catalogue="/catalog/" in target.path)
 
-    def listed(self, service: str, index: int | None = None, *headers: str, catalogue: bool = False) -> bytes:
-        """The answer as things stand, with another index where one is given."""
+    def response(self, service: str, index: int | None = None, *headers: str, catalogue: bool = False) -> bytes:
+        """Return the current instances, with another index if one is given."""
         rows = self.services.get(service, [])
-        body = json.dumps([_flat(row) for row in rows] if catalogue else rows).encode()
-        told = self.index if index is None else index
+        body = json.dumps([_catalogue_row(row) for row in rows] if catalogue else rows).encode()
+        sent_index = self.index if index is None else index
         return answer(
-            200, body, "Content-Type: application/json", f"X-Consul-Index: {told}", "X-Consul-LastContact: 0",
+            200, body, "Content-Type: application/json", f"X-Consul-Index: {sent_index}", "X-Consul-LastContact: 0",
             "X-Consul-KnownLeader: true", *headers,
         )  # fmt: skip
 
 
-def _flat(row: dict[str, Any]) -> dict[str, Any]:
-    """The catalogue's form of a row."""
+def _catalogue_row(row: dict[str, Any]) -> dict[str, Any]:
+    """Return a row in the flat format of the catalogue."""
     node, service = row["Node"], row["Service"]
     return {
         "ID": node["ID"], "Node": node["Node"], "Address": node["Address"], "Datacenter": node["Datacenter"],
@@ -112,8 +113,8 @@
 
 
 def _seconds(wait: str) -> float:
-    """A wait as Go writes one, of one unit."""
+    """Parse a Go duration that has a single unit. Raises ValueError if it is malformed."""
     for unit, seconds in (("ms", 0.001), ("s", 1.0), ("m", 60.0)):
         if wait.endswith(unit):
             return float(wait.removesuffix(unit)) * seconds
-    raise ValueError(f"no duration: {wait!r}")
+    raise ValueError(f"not a duration: {wait!r}")
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's discovery: the whole list, and a watch that waits for a change."""
+"""A stand-in for the platform's discovery: the full list, and a watch that waits for changes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def row(endpoint: str, address: str, lifecycle: str = "ready", started_ms: int = 0, **more: Any) -> dict[str, Any]:
-    """One entry of a list, in the platform's form."""
+    """Return one entry of a list in the platform's format."""
     return {
         "instanceId": endpoint,
         "hostPort": address,
@@ -27,18 +27,19 @@
 
 
 def listing(generation: int, reset: bool, *rows: dict[str, Any]) -> bytes:
+    """Return a list in the platform's format; `reset` marks a full one."""
     return json.dumps({"generation": generation, "reset": reset, "instances": rows}).encode()
 
 
 class Discovery(Answering):
-    """Answers with the list as it stands; a change wakes the watches."""
+    """Serves the current list; a change wakes the watches."""
 
     def __init__(self) -> None:
         super().__init__()
         self.generation = 1
         self.rows: dict[str, dict[str, Any]] = {}
         self.changes: list[tuple[int, dict[str, Any]]] = []
-        self.request_count = 0  # questions
+        self.request_count = 0
         self._changed = asyncio.Event()
 
     async def start(self) -> Discovery:
@@ -46,7 +47,7 @@
         return self
 
     def update(self, entry: dict[str, Any]) -> None:
-        """A change: an endpoint that is new, or that has another state."""
+        """Add an endpoint, change its state, or remove it if it is gone."""
         self.generation += 1
         self.changes.append((self.generation, entry))
         if entry["lifecycle"] == "gone":
@@ -72,5 +73,5 @@
                     await changed.wait()
             except TimeoutError:
                 pass
-        news = [entry for generation, entry in self.changes if generation > after]
-        return listing(self.generation, False, *news)
+        changes = [entry for generation, entry in self.changes if generation > after]
+        return listing(self.generation, False, *changes)
--- a/tests/membership/test_consul.py
+++ b/tests/membership/test_consul.py
@@ -1,4 +1,4 @@
-"""What Consul's answers mean, and the command that shows it."""
+"""Reading Consul's responses, and the command `eiderhub members` that replays recorded ones."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 from eiderhub.cli import main
 from eiderhub.interface import Readiness
-from eiderhub.membership.consul.health import Meaning, read_health
+from eiderhub.membership.consul.health import FieldMapping, read_health
 
 
 def instance(name: str = "web-1", checks: Any = (), address: str = "10.0.0.1", port: Any = 80, **meta: str) -> Any:
-    """One row, in the shape that Consul's API pages show."""
+    """Return one row in the format of Consul's API documentation."""
     return {
         "Node": {"ID": "40e4", "Node": "n1", "Address": "10.0.0.9", "Datacenter": "dc1", "Meta": {"zone": "far"}},
         "Service": {
@@ -25,8 +25,8 @@
     }  # fmt: skip
 
 
-def read(*rows: Any, meaning: Meaning = Meaning()) -> Any:  # noqa: B008
-    return read_health(json.dumps(rows).encode(), meaning)
+def read(*rows: Any, field_mapping: FieldMapping = FieldMapping()) -> Any:  # noqa: B008
+    return read_health(json.dumps(rows).encode(), field_mapping)
 
 
 @pytest.mark.parametrize(
@@ -42,17 +42,17 @@
         ([("a", "a state of a later version")], Readiness.DRAINING, 10),
     ],
 )
-def test_the_worst_check_counts(checks: Any, readiness: Readiness, weight: int) -> None:
+def test_the_most_severe_check_counts(checks: Any, readiness: Readiness, weight: int) -> None:
     endpoint = read(instance(checks=checks)).entries[0].endpoint
     assert (endpoint.readiness, endpoint.weight) == (readiness, weight)
 
 
-def test_a_site_says_what_a_warning_means() -> None:
-    found = read(instance(checks=[("a", "warning")]), meaning=Meaning(warning=Readiness.DRAINING))
+def test_the_state_for_a_warning_is_configurable() -> None:
+    found = read(instance(checks=[("a", "warning")]), field_mapping=FieldMapping(warning_state=Readiness.DRAINING))
     assert found.entries[0].endpoint.readiness is Readiness.DRAINING
 
 
-def test_tags_and_locality_tell_what_meta_does_not() -> None:
+def test_tags_and_locality_supply_what_meta_lacks() -> None:
     row = instance(kind="m4")
     row["Node"]["Meta"] = None
     row["Service"] |= {"Tags": ["kind=m1", "cell=5", "v2"], "Locality": {"Region": "sur", "Zone": "sur-b"}}
@@ -60,7 +60,7 @@
     assert (endpoint.zone, endpoint.machine_kind, endpoint.cell) == ("sur-b", "m4", 5)
 
 
-def test_what_meta_tells_of_a_service_stands_above_its_nodes() -> None:
+def test_the_meta_of_a_service_overrides_that_of_its_node() -> None:
     (near,), (far,) = read(instance(zone="near", cell="3", kind="m4")).entries, read(instance()).entries
     assert (near.endpoint.id, near.endpoint.zone, near.endpoint.cell, near.endpoint.machine_kind) == (
         "n1/web-1",
@@ -75,25 +75,25 @@
 @pytest.mark.parametrize(
     ("changes", "reason"),
     [
-        ({"address": "web.internal"}, "no IP address"),
+        ({"address": "web.internal"}, "not an IP address"),
         ({"port": 0}, "port 0"),
         ({"port": 70_000}, "port 70000"),
         ({"started_ms": "soon"}, "started_ms"),
     ],
 )
-def test_one_that_can_not_be_used_takes_no_other_with_it(changes: dict[str, Any], reason: str) -> None:
+def test_an_unusable_instance_is_left_out_and_the_others_stay(changes: dict[str, Any], reason: str) -> None:
     found = read(instance("bad", **changes), instance("good", address="", port=81), instance("six", address="::1"))
     assert [(e.host, e.port) for e in found.entries] == [("10.0.0.9", 81), ("::1", 80)]
-    assert len(found.refused) == 1 and found.refused[0].startswith("n1/bad: ") and reason in found.refused[0]
+    assert len(found.rejected) == 1 and found.rejected[0].startswith("n1/bad: ") and reason in found.rejected[0]
 
 
 @pytest.mark.parametrize("body", [b"", b"[{", b'{"a": 1}', b'[{"Node": {}}]', b'"no cluster leader"', b"\xff"])
-def test_what_is_no_answer_is_told_as_such(body: bytes) -> None:
-    with pytest.raises(ValueError, match="no answer"):
-        read_health(body, Meaning())
+def test_a_malformed_response_raises_an_error(body: bytes) -> None:
+    with pytest.raises(ValueError, match="malformed response"):
+        read_health(body, FieldMapping())
 
 
-def test_members_tells_what_a_sidecar_would_believe(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_members_prints_the_merged_view_over_time(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     row = {"instanceId": "s-1", "hostPort": "10.0.0.1:80", "lifecycle": "ready"}
     rows = [
         {"at_ms": 5000, "source": "platform", "body": {"generation": 1, "reset": True, "instances": [row]}},
@@ -108,9 +108,9 @@
     assert lines[:3] == [
         "0.000 s  s-1 at 10.0.0.1:80  ready (platform: ready)",
         "1.000 s  s-1 at 10.0.0.1:80  draining (platform: ready, consul:web: draining)",
-        "1.000 s  they disagree: 10.0.0.1:80: platform says ready, consul:web says draining",
+        "1.000 s  sources disagree: 10.0.0.1:80: platform reports ready, consul:web reports draining",
     ]
-    assert lines[3].startswith("2.000 s  line 3: consul:web: no answer of the health API")
+    assert lines[3].startswith("2.000 s  line 3: consul:web: malformed response of the health API")
     assert lines[4].startswith("4.000 s  s-1 at 10.0.0.1:80  ready (")  # Consul has been silent for three seconds
     assert lines[5:] == ["in the end: 1 endpoints", "s-1 at 10.0.0.1:80  ready"]
 
@@ -118,7 +118,7 @@
 @pytest.mark.parametrize(
     "line", ["no JSON", '{"at_ms": 1}', '{"at_ms": "x", "source": "consul"}', '{"at_ms": 1, "source": "etcd"}']
 )
-def test_a_line_that_is_no_record_is_told_with_its_number(
+def test_an_invalid_line_is_reported_with_its_number(
     line: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "recorded"
--- a/tests/membership/test_query.py
+++ b/tests/membership/test_query.py
@@ -1,4 +1,4 @@
-"""When Consul is asked again, for what, and which of its answers are believed."""
+"""When and with what request Consul is polled next, and which responses are accepted."""
 
 from __future__ import annotations
 
@@ -6,64 +6,64 @@
 
 import pytest
 
-from eiderhub.membership.consul.query import BACKOFF_US, PACE_US, SLOWEST_PACE_US, Options, Query
+from eiderhub.membership.consul.query import BACKOFF_US, MAX_INTERVAL_US, MIN_INTERVAL_US, Options, Query
 
 S = 1_000_000
 
 
-def query(**changes: object) -> Query:
+def make_query(**changes: object) -> Query:
     return Query(Options((("10.0.0.1", 8500), ("10.0.0.2", 8500)), ("web",), **changes), "web")  # type: ignore[arg-type]
 
 
-def answered(found: Query, now_us: int, index: object, **headers: str) -> int:
-    return found.answered(now_us, 200, {"x-consul-index": str(index), **headers})
+def respond(query: Query, now_us: int, index: object, **headers: str) -> int:
+    return query.on_response(now_us, 200, {"x-consul-index": str(index), **headers})
 
 
-def test_a_question_waits_for_what_is_newer_than_the_last_answer() -> None:
-    found = query(mode="stale", scope=(("dc", "sur"), ("filter", 'Service.Meta.a == "b c"')), tags=("v1", "v2"))
-    first = found.ask(0)
+def test_a_request_waits_for_changes_since_the_last_response() -> None:
+    query = make_query(mode="stale", scope=(("dc", "sur"), ("filter", 'Service.Meta.a == "b c"')), tags=("v1", "v2"))
+    first = query.next_request(0)
     assert first.target.startswith("/v1/health/service/web?") and "index" not in first.target
-    answered(found, S, 42)
-    ask = found.ask(2 * S)
-    asked = parse_qs(urlsplit(ask.target).query, keep_blank_values=True)
-    assert asked == {
+    respond(query, S, 42)
+    request = query.next_request(2 * S)
+    parameters = parse_qs(urlsplit(request.target).query, keep_blank_values=True)
+    assert parameters == {
         "dc": ["sur"], "filter": ['Service.Meta.a == "b c"'], "tag": ["v1", "v2"], "index": ["42"], "wait": ["30000ms"],
         "stale": [""],
     }  # fmt: skip
-    assert ask.patience_us > 30 * S * 17 // 16 > first.patience_us
+    assert request.timeout_us > 30 * S * 17 // 16 > first.timeout_us
 
 
 @pytest.mark.parametrize("index", [0, -5, "", "none", 41, 1 << 63, "9" * 30])
-def test_an_index_that_is_none_or_goes_back_starts_anew(index: object) -> None:
-    found = query()
-    answered(found, S, 42)
-    found.ask(2 * S)
-    answered(found, 3 * S, index)
-    assert "index=" not in found.ask(4 * S).target
+def test_after_an_invalid_or_lower_index_the_next_request_has_none(index: object) -> None:
+    query = make_query()
+    respond(query, S, 42)
+    query.next_request(2 * S)
+    respond(query, 3 * S, index)
+    assert "index=" not in query.next_request(4 * S).target
 
 
-def test_answers_that_bring_nothing_at_once_are_asked_for_ever_more_slowly() -> None:
-    found, now, pauses = query(), 0, []
+def test_immediate_responses_without_a_change_are_polled_ever_more_slowly() -> None:
+    query, now, pauses = make_query(), 0, []
     for _ in range(8):
-        found.ask(now)
-        pauses.append(answered(found, now, 7))
+        query.next_request(now)
+        pauses.append(respond(query, now, 7))
         now += pauses[-1]
-    assert pauses[0] == PACE_US and pauses == sorted(pauses) and pauses[-1] == SLOWEST_PACE_US
-    found.ask(now)
-    assert answered(found, now, 8) == PACE_US  # news: asked again soon
-    found.ask(now)
-    assert answered(found, now + 9 * S, 8) == 0  # one that was held
+    assert pauses[0] == MIN_INTERVAL_US and pauses == sorted(pauses) and pauses[-1] == MAX_INTERVAL_US
+    query.next_request(now)
+    assert respond(query, now, 8) == MIN_INTERVAL_US  # a change resets the interval
+    query.next_request(now)
+    assert respond(query, now + 9 * S, 8) == 0  # the agent has waited
 
 
-def test_a_slow_answer_and_then_a_flood_of_news_is_asked_for_ten_times_a_second_at_the_most() -> None:
-    found = query()
-    found.ask(0)
+def test_a_flood_of_changes_after_a_slow_response_is_polled_at_most_ten_times_a_second() -> None:
+    query = make_query()
+    query.next_request(0)
     now = 20 * S
-    assert answered(found, now, 5) == 0
+    assert respond(query, now, 5) == 0
     for index in range(6, 56):
-        found.ask(now)
-        now += answered(found, now + 1_000, index) + 1_000
-    assert now == 20 * S + 50 * PACE_US
+        query.next_request(now)
+        now += respond(query, now + 1_000, index) + 1_000
+    assert now == 20 * S + 50 * MIN_INTERVAL_US
 
 
 @pytest.mark.parametrize(
@@ -78,15 +78,15 @@
         (200, {"age": "31"}),
     ],
 )
-def test_what_may_not_be_believed_goes_to_another_agent_after_a_growing_pause(
+def test_after_a_rejected_response_the_other_agent_is_polled_with_a_growing_pause(
     status: int, headers: dict[str, str]
 ) -> None:
-    found, pauses, hosts = query(), [], []
+    query, pauses, hosts = make_query(), [], []
     for _ in range(8):
-        hosts.append(found.ask(0).host)
-        with pytest.raises(ValueError, match=r"answer|leader"):
-            found.answered(1, status, {"x-consul-index": "5", **headers})
-        pauses.append(found.failed(0.5))
+        hosts.append(query.next_request(0).host)
+        with pytest.raises(ValueError, match=r"unexpected status|response may be|leader"):
+            query.on_response(1, status, {"x-consul-index": "5", **headers})
+        pauses.append(query.on_failure(0.5))
     assert hosts == ["10.0.0.1", "10.0.0.2"] * 4
     assert pauses[0] == BACKOFF_US[0] and pauses == sorted(pauses) and pauses[-1] == BACKOFF_US[1]
-    assert query().failed(0.0) < query().failed(1.0)
+    assert make_query().on_failure(0.0) < make_query().on_failure(1.0)
--- a/tests/membership/test_standin.py
+++ b/tests/membership/test_standin.py
@@ -1,4 +1,4 @@
-"""Consul's stand-in as an independent client library reads it."""
+"""The Consul stand-in, read by an independent client library."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.sidecar_support import run
 
 
-def test_a_library_reads_the_stand_in_and_waits_for_changes() -> None:
+def test_a_client_library_reads_the_stand_in_and_waits_for_changes() -> None:
     async def test() -> None:
         agent = await Consul().start()
         agent.token = "secret"
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery at its narrow moments, on real sockets: what was missed is in force before it must be."""
+"""The watch on discovery under faults, on real sockets: a change that it missed is applied in time."""
 
 from __future__ import annotations
 
@@ -15,48 +15,48 @@
 LIST = listing(2, False)
 
 
-async def go_quiet(asked: ReceivedRequest, how: str) -> None:
-    """Fall silent under a question, at one of the places where an answer may stop."""
-    answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LIST) + LIST
-    head = answer.index(b"\r\n\r\n") + 4
-    sizes = {"at once": 0, "within the head": head // 2, "after the head": head, "within": len(answer) - 9}
-    asked.writer.write(answer[: sizes[how]])
+async def stop_responding(request: ReceivedRequest, how: str) -> None:
+    """Send the response to a request only up to one of the points where it may stop."""
+    response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LIST) + LIST
+    head = response.index(b"\r\n\r\n") + 4
+    sizes = {"at once": 0, "within the head": head // 2, "after the head": head, "within": len(response) - 9}
+    request.writer.write(response[: sizes[how]])
 
 
-@pytest.mark.parametrize("pushed", [False, True])
+@pytest.mark.parametrize("uses_local_agent", [False, True])
 @pytest.mark.parametrize("how", ["at once", "within the head", "after the head", "within"])
-def test_a_silent_watch_is_opened_anew_without_the_back_off(
-    how: str, pushed: bool, monkeypatch: pytest.MonkeyPatch
+def test_a_silent_watch_is_reopened_without_backoff(
+    how: str, uses_local_agent: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Seen on calm+brink: it was given up with its news already told, and then waited for the module's back-off."""
-    monkeypatch.setattr(poll_schedule, "WAIT_MS", (200, 200))
+    """Guards against a timeout so late that missed changes count as notified already, followed by a backoff."""
+    monkeypatch.setattr(poll_schedule, "WATCH_WAIT_MS", (200, 200))
 
     async def test() -> None:
-        async with Sidecar(endpoints=2, Discovery="push" if pushed else "ask") as sidecar:
-            stays, goes = sidecar.endpoints
+        async with Sidecar(endpoints=2, Discovery="push" if uses_local_agent else "ask") as sidecar:
+            staying, draining = sidecar.endpoints
             sidecar.host.balancer.poll_backoff_us = 60_000_000
-            await go_quiet(await sidecar.discovery.next(), how)
-            again = await sidecar.discovery.next()
-            assert again.connection == 1  # nothing that still comes on the old one is taken for an answer
-            assert again.message.first.startswith("GET /discovery/hosts?after=1&wait_ms=0 ")
-            again.reply(200, listing(2, False, row("s-1", goes.address, "draining")))
+            await stop_responding(await sidecar.discovery.next(), how)
+            recheck = await sidecar.discovery.next()
+            assert recheck.connection == 1  # data that still comes on the old connection is ignored
+            assert recheck.message.first.startswith("GET /discovery/hosts?after=1&wait_ms=0 ")
+            recheck.reply(200, listing(2, False, row("s-1", draining.address, "draining")))
             await sidecar.discovery.next()
             client = await sidecar.client()
-            await assert_all_go_to(stays, client)
-            assert goes.received.empty()
+            await assert_all_go_to(staying, client)
+            assert draining.received.empty()
 
     run(test())
 
 
-def test_drips_do_not_keep_a_silent_watch_open(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(poll_schedule, "WAIT_MS", (100, 100))
+def test_a_slow_trickle_of_bytes_does_not_keep_a_watch_open(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(poll_schedule, "WATCH_WAIT_MS", (100, 100))
 
     async def test() -> None:
         async with Sidecar() as sidecar:
-            asked = await sidecar.discovery.next()
-            asked.writer.write(b"HTTP/1.1 200 OK\r\n")
+            request = await sidecar.discovery.next()
+            request.writer.write(b"HTTP/1.1 200 OK\r\n")
             while sidecar.discovery.ends.empty():
-                asked.writer.write(b"x: y\r\n")
+                request.writer.write(b"x: y\r\n")
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(sidecar.discovery.ends.get(), 0.02)
                     break
@@ -65,39 +65,39 @@
     run(test())
 
 
-def test_changes_since_another_version_are_not_taken_and_the_whole_list_is_asked_for() -> None:
+def test_changes_since_another_version_are_ignored_and_the_full_list_is_requested() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             (await sidecar.discovery.next()).reply(200, listing(7, False))
             old = row("s-0", sidecar.endpoints[0].address, "draining")
             (await sidecar.discovery.next()).reply(200, listing(3, False, old))
-            asked = await sidecar.discovery.next()
-            assert asked.message.first == "GET /discovery/hosts HTTP/1.1"
-            assert list(sidecar.host.upstream.pools) == ["s-0"]  # what an older version says has not been taken
-            asked.reply(200, listing(4, True, row("s-0", sidecar.endpoints[0].address)))
+            request = await sidecar.discovery.next()
+            assert request.message.first == "GET /discovery/hosts HTTP/1.1"
+            assert list(sidecar.host.upstream.pools) == ["s-0"]  # the changes of an older version have not been applied
+            request.reply(200, listing(4, True, row("s-0", sidecar.endpoints[0].address)))
             assert "after=4&" in (await sidecar.discovery.next()).message.first
 
     run(test())
 
 
-def test_a_list_that_cannot_be_taken_in_does_not_end_the_watch(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_list_that_cannot_be_applied_does_not_end_the_watch(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
-            asked = await sidecar.discovery.next()
+            request = await sidecar.discovery.next()
 
             def fail(*_: object) -> None:
                 monkeypatch.undo()
                 raise RuntimeError("broken")
 
             monkeypatch.setattr(sidecar.host.upstream, "remove_endpoint", fail)
-            asked.reply(200, listing(2, True))
+            request.reply(200, listing(2, True))
             assert "after=1&" in (await sidecar.discovery.next()).message.first
 
     run(test())
 
 
-def test_a_new_address_that_is_silent_as_well_is_asked_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(poll_schedule, "WHOLE_S", 0.1)
+def test_a_new_address_that_is_silent_as_well_is_polled_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(poll_schedule, "FULL_LIST_TIMEOUT_S", 0.1)
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -105,118 +105,118 @@
             host, _, port = other.address.rpartition(":")
             sidecar.watcher.change_address(host, int(port))
             await other.next()
-            again = await other.next()
-            assert (again.connection, again.message.first) == (1, "GET /discovery/hosts HTTP/1.1")
-            again.reply(200, listing(4, True, row("s-0", sidecar.endpoints[0].address)))
+            retry = await other.next()
+            assert (retry.connection, retry.message.first) == (1, "GET /discovery/hosts HTTP/1.1")
+            retry.reply(200, listing(4, True, row("s-0", sidecar.endpoints[0].address)))
             assert "after=4&" in (await other.next()).message.first
 
     run(test())
 
 
-# --- a watch that is doubted ---
+# --- a watch under suspicion ---
 
 
-async def both_refuse(sidecar: Sidecar) -> None:
-    """Nobody listens at either endpoint any more, and a call has found that."""
+async def stop_both_endpoints(sidecar: Sidecar) -> None:
+    """Close both endpoints' listeners, and send a request that finds them refusing connections."""
     for fake in sidecar.endpoints:
         fake.server.close()
         await fake.server.wait_closed()
-    await find_them_refusing(sidecar)
+    await send_refused_request(sidecar)
 
 
-async def find_them_refusing(sidecar: Sidecar) -> None:
+async def send_refused_request(sidecar: Sidecar) -> None:
     assert (await (await sidecar.client()).request("look")).status == 503
 
 
-def test_a_watch_whose_endpoints_refuse_is_asked_beside_and_replaced() -> None:
-    """Found on join+mass at a site of our own: watches of up to 30 s had fallen silent, and 60% were replaced."""
+def test_discovery_is_polled_while_endpoints_refuse_and_the_watch_is_replaced() -> None:
+    """Guards against silent watches of up to 30 s while most endpoints are replaced, as in join+mass (60% of them)."""
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            fresh = await FakeServer().start()
-            watch = await sidecar.discovery.next()  # it never says anything again
-            await both_refuse(sidecar)
-            doubt = await sidecar.discovery.next()
-            assert doubt.connection != watch.connection
-            assert doubt.message.first.startswith("GET /discovery/hosts?after=1&wait_ms=0 ")
-            gone = [row(f"s-{i}", fake.address, "gone") for i, fake in enumerate(sidecar.endpoints)]
-            doubt.reply(200, listing(5, False, *gone, row("s-9", fresh.address)))
-            again = await sidecar.discovery.next()
-            assert "after=5&" in again.message.first
-            assert "wait_ms=0 " not in again.message.first
+            replacement = await FakeServer().start()
+            watch = await sidecar.discovery.next()  # it is never answered
+            await stop_both_endpoints(sidecar)
+            poll = await sidecar.discovery.next()
+            assert poll.connection != watch.connection
+            assert poll.message.first.startswith("GET /discovery/hosts?after=1&wait_ms=0 ")
+            removed = [row(f"s-{i}", fake.address, "gone") for i, fake in enumerate(sidecar.endpoints)]
+            poll.reply(200, listing(5, False, *removed, row("s-9", replacement.address)))
+            new_watch = await sidecar.discovery.next()
+            assert "after=5&" in new_watch.message.first
+            assert "wait_ms=0 " not in new_watch.message.first
             ended = {await sidecar.discovery.ends.get() for _ in range(2)}
-            assert ended == {watch.connection, doubt.connection}  # what still comes on them is nobody's answer
-            await assert_all_go_to(fresh, await sidecar.client())
+            assert ended == {watch.connection, poll.connection}  # data that still comes on them is ignored
+            await assert_all_go_to(replacement, await sidecar.client())
 
     run(test())
 
 
 @pytest.mark.parametrize("answer", [(200, listing(1, False)), (503, b"")])
-def test_a_watch_that_has_missed_nothing_stays_as_it_is(answer: tuple[int, bytes]) -> None:
+def test_a_watch_that_has_missed_nothing_is_kept(answer: tuple[int, bytes]) -> None:
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            fresh = await FakeServer().start()
+            replacement = await FakeServer().start()
             watch = await sidecar.discovery.next()
-            await both_refuse(sidecar)
-            doubt = await sidecar.discovery.next()
-            doubt.reply(*answer)
-            assert await sidecar.discovery.ends.get() == doubt.connection
-            await find_them_refusing(sidecar)
-            assert sidecar.watcher._beside is None  # it was asked a moment ago
-            watch.reply(200, listing(2, False, row("s-9", fresh.address)))
+            await stop_both_endpoints(sidecar)
+            poll = await sidecar.discovery.next()
+            poll.reply(*answer)
+            assert await sidecar.discovery.ends.get() == poll.connection
+            await send_refused_request(sidecar)
+            assert sidecar.watcher._beside is None  # discovery was polled a moment ago
+            watch.reply(200, listing(2, False, row("s-9", replacement.address)))
             assert (await sidecar.discovery.next()).connection == watch.connection
             assert "s-9" in sidecar.host.upstream.pools
 
     run(test())
 
 
-def test_a_watch_that_speaks_before_our_turn_is_not_asked() -> None:
+def test_an_answer_of_the_watch_cancels_the_pending_poll() -> None:
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
             watch = await sidecar.discovery.next()
             watcher = sidecar.watcher
             assert watcher.doubt is not None
             watcher.doubt.delay_us = 60_000_000
-            await both_refuse(sidecar)
-            waits = watcher._beside
-            assert waits is not None
+            await stop_both_endpoints(sidecar)
+            pending = watcher._beside
+            assert pending is not None
             watch.reply(200, listing(2, False))
             await sidecar.discovery.next()
-            assert waits.cancelled()
+            assert pending.cancelled()
             assert watcher._beside is None
 
     run(test())
 
 
-def test_changes_told_in_doubt_are_not_the_whole_list_that_is_owed_meanwhile() -> None:
-    """What was asked for as changes crosses a version that is older: taken as the list, it would retire the rest."""
+def test_changes_from_the_poll_are_not_taken_for_the_full_list_requested_meanwhile() -> None:
+    """The poll's changes arrive after an older version. As a full list they would remove all other endpoints."""
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            fresh = await FakeServer().start()
+            replacement = await FakeServer().start()
             (await sidecar.discovery.next()).reply(200, listing(7, False))
             watch = await sidecar.discovery.next()
-            await both_refuse(sidecar)
-            doubt = await sidecar.discovery.next()
+            await stop_both_endpoints(sidecar)
+            poll = await sidecar.discovery.next()
             watch.reply(200, listing(3, False))
-            whole = await sidecar.discovery.next()
-            assert whole.message.first == "GET /discovery/hosts HTTP/1.1"
-            doubt.reply(200, listing(8, False, row("s-9", fresh.address)))
-            assert await sidecar.discovery.ends.get() == doubt.connection
+            full_poll = await sidecar.discovery.next()
+            assert full_poll.message.first == "GET /discovery/hosts HTTP/1.1"
+            poll.reply(200, listing(8, False, row("s-9", replacement.address)))
+            assert await sidecar.discovery.ends.get() == poll.connection
             assert sidecar.host.upstream.pools.keys() == {"s-0", "s-1"}
-            whole.reply(200, listing(8, True, row("s-9", fresh.address)))
+            full_poll.reply(200, listing(8, True, row("s-9", replacement.address)))
             assert "after=8&" in (await sidecar.discovery.next()).message.first
             assert sidecar.host.upstream.pools.keys() == {"s-9"}
 
     run(test())
 
 
-def test_a_list_told_in_doubt_that_cannot_be_taken_in_is_asked_for_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_list_from_the_poll_that_cannot_be_applied_is_requested_again(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
             await sidecar.discovery.next()
-            await both_refuse(sidecar)
-            doubt = await sidecar.discovery.next()
+            await stop_both_endpoints(sidecar)
+            poll = await sidecar.discovery.next()
             errors: list[object] = []
             asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
 
@@ -225,7 +225,7 @@
                 raise RuntimeError("broken")
 
             monkeypatch.setattr(sidecar.host.upstream, "remove_endpoint", fail)
-            doubt.reply(200, listing(2, True))
+            poll.reply(200, listing(2, True))
             assert "after=1&" in (await sidecar.discovery.next()).message.first
             gc.collect()
             assert errors == []
@@ -233,48 +233,48 @@
     run(test())
 
 
-def test_an_end_of_the_watch_ends_its_doubt() -> None:
+def test_the_end_of_a_watch_cancels_its_poll() -> None:
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
             watch = await sidecar.discovery.next()
-            await both_refuse(sidecar)
-            doubt = await sidecar.discovery.next()
+            await stop_both_endpoints(sidecar)
+            poll = await sidecar.discovery.next()
             sidecar.host.tail(False)
             ended = {await sidecar.discovery.ends.get() for _ in range(2)}
-            assert ended == {watch.connection, doubt.connection}
-            await find_them_refusing(sidecar)
+            assert ended == {watch.connection, poll.connection}
+            await send_refused_request(sidecar)
             assert sidecar.watcher._beside is None
 
     run(test())
 
 
-def test_an_agent_is_not_doubted() -> None:
+def test_a_local_agent_is_not_suspected() -> None:
     async def test() -> None:
         async with Sidecar(endpoints=2, Discovery="push") as sidecar:
-            await both_refuse(sidecar)
+            await stop_both_endpoints(sidecar)
             assert sidecar.watcher._beside is None
 
     run(test())
 
 
-def test_one_endpoint_that_refuses_raises_no_doubt() -> None:
-    doubt = WatchSuspicion(0.0, 4, 10_000_000)
-    assert [doubt.connection_refused("a", at) for at in range(3)] == [False] * 3
-    assert doubt.connection_refused("b", 3)
-    doubt.clear()
-    assert not doubt.connection_refused("a", 4)
+def test_a_single_refusing_endpoint_raises_no_suspicion() -> None:
+    suspicion = WatchSuspicion(0.0, 4, 10_000_000)
+    assert [suspicion.connection_refused("a", now) for now in range(3)] == [False] * 3
+    assert suspicion.connection_refused("b", 3)
+    suspicion.clear()
+    assert not suspicion.connection_refused("a", 4)
 
 
-def test_doubts_that_find_nothing_are_ever_rarer_and_copies_take_turns() -> None:
-    doubt, now, pauses = WatchSuspicion(0.5, 200, 10_000_000), 0, []
-    assert doubt.delay_us == 2_000_000
+def test_polls_that_find_nothing_become_rarer_and_instances_are_spread() -> None:
+    suspicion, now, pauses = WatchSuspicion(0.5, 200, 10_000_000), 0, []
+    assert suspicion.delay_us == 2_000_000
     for _ in range(4):
-        doubt.polled(now, news=False)
+        suspicion.polled(now, found_change=False)
         begun = now
-        while not (doubt.connection_refused("a", now) | doubt.connection_refused("b", now)):
+        while not (suspicion.connection_refused("a", now) | suspicion.connection_refused("b", now)):
             now += 100_000
         pauses.append(now - begun)
     assert pauses == [5_000_000, 10_000_000, 10_000_000, 10_000_000]
-    doubt.polled(now, news=True)
-    assert not doubt.connection_refused("a", now + 2_400_000) | doubt.connection_refused("b", now + 2_400_000)
-    assert doubt.connection_refused("a", now + 2_500_000) | doubt.connection_refused("b", now + 2_500_000)
+    suspicion.polled(now, found_change=True)
+    assert not suspicion.connection_refused("a", now + 2_400_000) | suspicion.connection_refused("b", now + 2_400_000)
+    assert suspicion.connection_refused("a", now + 2_500_000) | suspicion.connection_refused("b", now + 2_500_000)
