--- a/eiderhub/membership/consul/query.py
+++ b/eiderhub/membership/consul/query.py
@@ -70,7 +70,7 @@
         self._backoff_us = BACKOFF_US[0]
 
     def next_request(self, now_us: int) -> QueryRequest:
-        """Return the next request. The caller waits for its end before it asks for another."""
+        """Return the next request. The caller waits until it has ended before requesting another."""
         self._sent_us = now_us
         parameters: list[tuple[str, str]] = [*self.options.scope, *(("tag", tag) for tag in self.options.tags)]
         if self.index:
@@ -92,7 +92,7 @@
         if status != 200:
             raise ValueError(f"unexpected status {status}")
         if headers.get("x-consul-knownleader", "true").lower() != "true":
-            raise ValueError("the agent knows no leader")
+            raise ValueError("the agent has no known leader")
         age_us = max(_number(headers.get("x-consul-lastcontact")) * 1000, _number(headers.get("age")) * 1_000_000)
         if age_us > self.options.max_age_us:
             raise ValueError(f"the response may be {age_us / 1e6:.1f} s old")
--- a/eiderhub/membership/list_client.py
+++ b/eiderhub/membership/list_client.py
@@ -11,7 +11,7 @@
 
 
 class ListClient:
-    """Sends requests over one connection, which is opened anew after it has ended."""
+    """Sends requests over one connection, which is reopened after it has ended."""
 
     def __init__(self, max_body_bytes: int) -> None:
         self.max_body_bytes = max_body_bytes
@@ -28,10 +28,10 @@
         if self._address != (host, port):
             self.close_connection()
         if self._connection is None or self._connection.closed:
-            fresh = Connection(self, ByteBudget(self.max_body_bytes), self.max_body_bytes)
+            connection = Connection(self, ByteBudget(self.max_body_bytes), self.max_body_bytes)
             async with asyncio.timeout(min(CONNECT_TIMEOUT_S, timeout_s)):
-                await loop.create_connection(lambda: fresh, host, port)
-            self._connection, self._address = fresh, (host, port)
+                await loop.create_connection(lambda: connection, host, port)
+            self._connection, self._address = connection, (host, port)
         self._response = loop.create_future()
         self._connection.send(request)
         async with asyncio.timeout(timeout_s):
--- a/eiderhub/membership/merger.py
+++ b/eiderhub/membership/merger.py
@@ -15,7 +15,7 @@
 from eiderhub.membership.endpoint_list import ListedEndpoint
 
 MAX_REMOVED_ADDRESSES = 10_000  # removed addresses that are remembered for each source; the oldest are dropped first
-STATE_RANK = {Readiness.READY: 0, Readiness.DRAINING: 1, Readiness.REMOVED: 2}  # the most restrictive state is highest
+STATE_RANK = {Readiness.READY: 0, Readiness.DRAINING: 1, Readiness.REMOVED: 2}  # higher is more restrictive
 MULTI_VALUED_LABELS = ("service", "tag")  # labels of which an endpoint may have several
 Address = tuple[str, int]
 
@@ -44,33 +44,33 @@
     def __init__(self, policy: SourcePolicy) -> None:
         self.policy = policy
         self.last_update_us = 0
-        self.entries_at: dict[Address, dict[str, ListedEndpoint]] = {}  # several ids may share an address: one is stale
+        self.entries_at: dict[Address, dict[str, ListedEndpoint]] = {}  # ids may share an address if one is stale
         self.address_of: dict[str, Address] = {}
         self.removed_at_us: dict[Address, int] = {}
 
     def set_entry(self, entry: ListedEndpoint, now_us: int) -> Iterator[Address]:
         """Store one entry; yield the addresses that this source now reports differently."""
-        name, address = entry.endpoint.id, (entry.host, entry.port)
+        endpoint_id, address = entry.endpoint.id, (entry.host, entry.port)
         entries = self.entries_at.get(address)
-        if entries is not None and entries.get(name) == entry:
+        if entries is not None and entries.get(endpoint_id) == entry:
             return  # unchanged, like most entries of a long list
         if entry.endpoint.readiness is Readiness.REMOVED:
-            yield from self.remove_id(name, now_us)
+            yield from self.remove_id(endpoint_id, now_us)
             return
-        if self.address_of.get(name, address) != address:
-            yield from self.remove_id(name, now_us)
-        self.address_of[name] = address
-        self.entries_at.setdefault(address, {})[name] = entry
+        if self.address_of.get(endpoint_id, address) != address:
+            yield from self.remove_id(endpoint_id, now_us)
+        self.address_of[endpoint_id] = address
+        self.entries_at.setdefault(address, {})[endpoint_id] = entry
         self.removed_at_us.pop(address, None)
         yield address
 
-    def remove_id(self, name: str, now_us: int) -> Iterator[Address]:
+    def remove_id(self, endpoint_id: str, now_us: int) -> Iterator[Address]:
         """Remove an id; its address is removed only with the last id there."""
-        address = self.address_of.pop(name, None)
+        address = self.address_of.pop(endpoint_id, None)
         if address is None:
             return
         entries = self.entries_at[address]
-        del entries[name]
+        del entries[endpoint_id]
         if not entries:
             del self.entries_at[address]
             self.removed_at_us.pop(address, None)
@@ -119,17 +119,17 @@
         touched.update(dict.fromkeys(address for address in self._conflicts if updated.state_of(address) is not None))
         return self._recompute(touched, now_us)
 
-    def remove_unlisted(self, source: str, now_us: int, names: set[str]) -> MergeResult:
+    def remove_unlisted(self, source: str, now_us: int, listed_ids: set[str]) -> MergeResult:
         """Remove what a full list with these ids leaves out, before the list itself is applied in parts."""
         updated = self._sources[source]
         updated.last_update_us = now_us
-        return self._recompute(self._remove_unlisted(updated, now_us, names), now_us)
+        return self._recompute(self._remove_unlisted(updated, now_us, listed_ids), now_us)
 
     @staticmethod
-    def _remove_unlisted(source: _Source, now_us: int, names: set[str]) -> dict[Address, None]:
+    def _remove_unlisted(source: _Source, now_us: int, listed_ids: set[str]) -> dict[Address, None]:
         touched: dict[Address, None] = {}
-        for name in source.address_of.keys() - names:
-            touched.update(dict.fromkeys(source.remove_id(name, now_us)))
+        for endpoint_id in source.address_of.keys() - listed_ids:
+            touched.update(dict.fromkeys(source.remove_id(endpoint_id, now_us)))
         return touched
 
     def confirm(self, source: str, now_us: int) -> MergeResult:
@@ -176,12 +176,12 @@
     def _store(self, entry: ListedEndpoint) -> ListedEndpoint:
         """Put an entry into the merged view under its address's id, or under one that no other address has."""
         address = (entry.host, entry.port)
-        name = entry.endpoint.id
-        if self._address_of.get(name, address) != address:
-            name = f"{name}@{address[0]}:{address[1]}"
-        stored = entry._replace(endpoint=entry.endpoint._replace(id=name))
+        endpoint_id = entry.endpoint.id
+        if self._address_of.get(endpoint_id, address) != address:
+            endpoint_id = f"{endpoint_id}@{address[0]}:{address[1]}"
+        stored = entry._replace(endpoint=entry.endpoint._replace(id=endpoint_id))
         self.endpoints[address] = stored
-        self._address_of[name] = address
+        self._address_of[endpoint_id] = address
         return stored
 
     def _merge_entries(self, address: Address, now_us: int) -> ListedEndpoint | None:
--- a/eiderhub/membership/source_aggregator.py
+++ b/eiderhub/membership/source_aggregator.py
@@ -27,7 +27,7 @@
         self._expiry_timer: Timer | None = None
 
     def on_platform_list(self, form: ListForm, entries: list[ListedEndpoint]) -> None:
-        """Apply an answer of the platform and deliver it even without a change: it tells the module that polls work."""
+        """Apply and deliver an answer of the platform, even if nothing changed: it resets the module's poll backoff."""
         if form is ListForm.FAILED:
             self.deliver(form, entries)
             return
