--- a/eiderhub/config/load.py
+++ b/eiderhub/config/load.py
@@ -89,7 +89,7 @@
     if environ is None:
         environ = {key: value for key, value in ANYWHERE.items() if key[3:].lower() not in raw}
     try:
-        config = config_from(raw, environ, elsewhere="consul" in pair.tables)
+        config = config_from(raw, environ, has_other_source="consul" in pair.tables)
         return dataclasses.replace(
             config,
             plan=make_plan(pair, config),
--- a/eiderhub/sidecar/__main__.py
+++ b/eiderhub/sidecar/__main__.py
@@ -19,45 +19,45 @@
 from eiderhub.sidecar.config import Config, ConfigError, load, needs_restart
 from eiderhub.sidecar.host import Host
 
-ACCEPT_S = 0.6  # new connections are taken for so long after SIGTERM: the front sends some for up to 0.4 s
-LONGEST_S = 3.0  # SIGKILL comes this, or the longest deadline if that is shorter, and 0.7 s after SIGTERM
-AFTER_LONGEST_S = 0.45  # so that everything is answered by then
-SERVE_SHARE = 0.75  # of that time, how long kept connections are served: the rest is for what is open then
-FLUSH_S = 0.15  # for the last bytes to leave, at the most
-LAG_EVERY_S = 0.1
-LAG_LOG_S = 10.0
-LAG_WORTH_US = 50_000  # a lag that eats a good part of the margin for answers
-LINES_PER_S = 20
+ACCEPT_PERIOD_S = 0.6  # new connections are taken for so long after SIGTERM: the front sends some for up to 0.4 s
+MAX_DRAIN_S = 3.0  # SIGKILL comes this, or the longest deadline if that is shorter, and 0.7 s after SIGTERM
+DRAIN_MARGIN_S = 0.45  # so that everything is answered by then
+KEEP_SERVING_SHARE = 0.75  # of that time, how long kept connections are served: the rest is for what is open then
+FLUSH_TIMEOUT_S = 0.15  # for the last bytes to leave, at the most
+LAG_CHECK_INTERVAL_S = 0.1
+LAG_LOG_INTERVAL_S = 10.0
+LAG_LOG_THRESHOLD_US = 50_000  # a lag that eats a good part of the margin for answers
+MAX_LINES_PER_S = 20
 log = logging.getLogger("eiderhub.sidecar")
 
 
-class Sparse(logging.Filter):
+class RateLimitFilter(logging.Filter):
     """Lets through so many lines a second: a log that runs full would hold up every request."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.second = 0
-        self.count = 0
+        self.current_second = 0
+        self.line_count = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        if int(record.created) != self.second:
-            self.second, self.count = int(record.created), 0
-        self.count += 1
-        return self.count <= LINES_PER_S
+        if int(record.created) != self.current_second:
+            self.current_second, self.line_count = int(record.created), 0
+        self.line_count += 1
+        return self.line_count <= MAX_LINES_PER_S
 
 
-async def watch_lag() -> None:
+async def log_loop_lag() -> None:
     """Log the longest lag of the event loop, sparsely: it adds to every latency that is measured here."""
-    worst, next_log = 0, now_us() + int(LAG_LOG_S * 1e6)
+    max_lag_us, next_log = 0, now_us() + int(LAG_LOG_INTERVAL_S * 1e6)
     while True:
-        before = now_us()
-        await asyncio.sleep(LAG_EVERY_S)
+        started_us = now_us()
+        await asyncio.sleep(LAG_CHECK_INTERVAL_S)
         now = now_us()
-        worst = max(worst, now - before - int(LAG_EVERY_S * 1e6))
+        max_lag_us = max(max_lag_us, now - started_us - int(LAG_CHECK_INTERVAL_S * 1e6))
         if now >= next_log:
-            if worst >= LAG_WORTH_US:
-                log.warning("the event loop was late by up to %d ms", worst // 1000)
-            worst, next_log = 0, now + int(LAG_LOG_S * 1e6)
+            if max_lag_us >= LAG_LOG_THRESHOLD_US:
+                log.warning("the event loop was late by up to %d ms", max_lag_us // 1000)
+            max_lag_us, next_log = 0, now + int(LAG_LOG_INTERVAL_S * 1e6)
 
 
 async def drain(listeners: Sequence[asyncio.Server], callers: Callers, host: Host) -> None:
@@ -67,21 +67,21 @@
     while. Closing them at once would send a whole sidecar's load to its neighbours in one moment, and to
     nobody where the neighbour is about to come back from a restart of its own.
     """
-    end = min(LONGEST_S, callers.max_deadline_s) + AFTER_LONGEST_S
-    begun_us = now_us()
+    drain_s = min(MAX_DRAIN_S, callers.max_deadline_s) + DRAIN_MARGIN_S
+    started_us = now_us()
     callers.draining = True
-    await asyncio.sleep(ACCEPT_S)
+    await asyncio.sleep(ACCEPT_PERIOD_S)
     for listener in listeners:
         await close_listener(listener)
-    await asyncio.sleep(SERVE_SHARE * end - ACCEPT_S)
+    await asyncio.sleep(KEEP_SERVING_SHARE * drain_s - ACCEPT_PERIOD_S)
     callers.closing = True
-    while callers and now_us() < begun_us + int(end * 1e6):
+    while callers and now_us() < started_us + int(drain_s * 1e6):
         callers.close_idle()
         await asyncio.sleep(0.01)
     host.close()
-    flushed_us = now_us() + int(FLUSH_S * 1e6)
+    flush_until_us = now_us() + int(FLUSH_TIMEOUT_S * 1e6)
     await asyncio.sleep(0)  # what the last turn read is taken in, at the least once
-    while callers.has_unfinished_work() and now_us() < flushed_us:
+    while callers.has_unfinished_work() and now_us() < flush_until_us:
         callers.close_idle()
         await asyncio.sleep(0.005)
     callers.close_idle()
@@ -113,36 +113,36 @@
         self.host = host
         self.config = config
         self.operator = operator
-        self.taken: Callable[[Config], None] | None = None  # who else is told of a new configuration
-        self._wanted = False
+        self.on_reload: Callable[[Config], None] | None = None  # who else is told of a new configuration
+        self._requested = False
         self._task: asyncio.Task[None] | None = None
 
-    def ask(self) -> None:
-        self._wanted = True
+    def request_reload(self) -> None:
+        self._requested = True
         if self._task is None:
             self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def _run(self) -> None:
-        while self._wanted:
-            self._wanted = False
+        while self._requested:
+            self._requested = False
             try:
-                self._take(await asyncio.to_thread(self._read))
+                self._apply(await asyncio.to_thread(self._read))
             except Exception as error:  # whatever is wrong with a file, it must not end a process that serves
                 log.error("the configuration is not taken: %s", error)
         self._task = None
 
     def _read(self) -> Config:
-        new = _start(self.operator)
-        changed = needs_restart(self.config, new)
+        new_config = load_config(self.operator)
+        changed = needs_restart(self.config, new_config)
         if changed:
             raise ConfigError(f"a restart is needed for {', '.join(changed)}; nothing has changed")
-        return new
+        return new_config
 
-    def _take(self, new: Config) -> None:
-        self.host.reload(new)
-        self.config = new
-        if self.taken is not None:
-            self.taken(new)
+    def _apply(self, new_config: Config) -> None:
+        self.host.reload(new_config)
+        self.config = new_config
+        if self.on_reload is not None:
+            self.on_reload(new_config)
         log.info("the configuration is taken")
 
 
@@ -151,7 +151,7 @@
     return int(listener.sockets[0].getsockname()[1])
 
 
-async def thrift_port(config: Config, host: Host, callers: Callers) -> asyncio.Server:
+async def open_thrift_port(config: Config, host: Host, callers: Callers) -> asyncio.Server:
     """The port for Thrift; what it needs is imported only where there is one."""
     from eiderhub.protocols.thrift import server as thrift
 
@@ -164,17 +164,17 @@
 async def serve(config: Config, operator: str | None) -> None:
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     host = Host(config)
     reloader = Reloader(host, config, operator)
-    loop.add_signal_handler(signal.SIGHUP, reloader.ask)
+    loop.add_signal_handler(signal.SIGHUP, reloader.request_reload)
     callers = Callers(config.bounds.caller_connections, host.max_deadline_s, host.budget)
     server = Server(host, callers)
     await server.bind(config.listen.host, config.listen.port)
     listeners = [server.listener]
     if config.thrift is not None:
-        listeners.append(await thrift_port(config, host, callers))
+        listeners.append(await open_thrift_port(config, host, callers))
     consul = None
     if config.consul is not None:
         from eiderhub.membership.source_aggregator import (
@@ -192,9 +192,9 @@
         consul.start()
     if fleet is not None:
         fleet.start()
-        reloader.taken = lambda new: fleet.adopt(new.fleet.build)
-    chores = (host.upstream.sweep(), callers.watch_timeouts(), watch_lag())
-    background = [loop.create_task(chore) for chore in chores]
+        reloader.on_reload = lambda new_config: fleet.adopt(new_config.fleet.build)
+    coroutines = (host.upstream.sweep(), callers.watch_timeouts(), log_loop_lag())
+    background = [loop.create_task(coroutine) for coroutine in coroutines]
     # What lives from here to the end need not be walked again: a full collection holds up every request.
     gc.collect()
     gc.freeze()
@@ -212,7 +212,7 @@
         task.cancel()
 
 
-def _start(operator: str | None) -> Config:
+def load_config(operator: str | None) -> Config:
     if operator is None:
         return load(os.environ)
     from eiderhub.config.load import checked  # not for a sidecar without an operator's file
@@ -222,16 +222,16 @@
 
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run one sidecar: `[--operator FILE]`, all else by the environment. The exit status is 0 after a drain."""
-    words = list(sys.argv[1:] if arguments is None else arguments)
-    if words and (len(words) != 2 or words[0] != "--operator"):
+    arguments_list = list(sys.argv[1:] if arguments is None else arguments)
+    if arguments_list and (len(arguments_list) != 2 or arguments_list[0] != "--operator"):
         print("usage: eiderhub sidecar [--operator FILE]; GW_CONFIG names the sidecar's file", file=sys.stderr)
         return 2
-    operator = words[1] if words else None
+    operator = arguments_list[1] if arguments_list else None
     handler = logging.StreamHandler()
-    handler.addFilter(Sparse())
+    handler.addFilter(RateLimitFilter())
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s", handlers=[handler])
     try:
-        config = _start(operator)
+        config = load_config(operator)
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(serve(config, operator))
     except (ConfigError, OSError) as error:
--- a/eiderhub/sidecar/callers.py
+++ b/eiderhub/sidecar/callers.py
@@ -71,7 +71,7 @@
         Not only with `connection_lost`: that waits until earlier answers have left, for a caller that may not read.
         """
         self.state_since_us = now_us()  # `check` counts from here
-        self._leave()
+        self._disconnect()
         return False
 
     def pause_writing(self) -> None:
@@ -85,9 +85,9 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.callers.remove(self)
-        self._leave()
+        self._disconnect()
 
-    def _leave(self) -> None:
+    def _disconnect(self) -> None:
         self.input_closed = self.disconnected = True
         self.release_budget()
         self.on_disconnect()
@@ -142,8 +142,8 @@
     def check_timeouts(self, now: int) -> None:
         """Close a caller that keeps its descriptor and asks for nothing."""
         quiet_s = (now - self.state_since_us) / 1e6
-        if self.reading_paused and self._polled(select.POLLRDHUP):
-            self._leave()
+        if self.reading_paused and self._poll(select.POLLRDHUP):
+            self._disconnect()
             self.transport.abort()
             return
         if self.answering:
@@ -162,9 +162,9 @@
 
     def has_unread_input(self) -> bool:
         """Whether input waits in the kernel: closing now would cross a request, and that would fail."""
-        return self._polled(select.POLLIN)
+        return self._poll(select.POLLIN)
 
-    def _polled(self, events: int) -> bool:
+    def _poll(self, events: int) -> bool:
         """Whether one of these, or an error, stands at the socket."""
         if self.transport.is_closing():
             return False  # its descriptor may be another's already
@@ -201,7 +201,7 @@
         a request. Past some of those, bare all the same.
         """
         if len(self.connections) - len(self.over_limit) >= self.max_connections - self.max_over_limit:
-            victim = self._spare()
+            victim = self._choose_victim()
             if victim is None and len(self.over_limit) < self.max_over_limit:
                 self.connections[caller] = self.over_limit[caller] = None
                 return
@@ -214,7 +214,7 @@
         self.connections[caller] = None
         self.unestablished[caller] = None
 
-    def _spare(self) -> BaseCallerConnection | None:
+    def _choose_victim(self) -> BaseCallerConnection | None:
         for caller in self.unestablished:
             if not caller.receiving and not caller.has_unread_input():
                 return caller
--- a/eiderhub/sidecar/clock.py
+++ b/eiderhub/sidecar/clock.py
@@ -1,4 +1,4 @@
-"""The monotonic clock in integer microseconds, and alarms that never go off early."""
+"""The monotonic clock in integer microseconds, and timers that never fire early."""
 
 from __future__ import annotations
 
@@ -6,20 +6,21 @@
 import time
 from collections.abc import Callable
 
-# Unix time less monotonic time. Taken once: a start time converted anew with each list would look like a
-# restart of the endpoint whenever the system's clock is set.
+# Unix time minus monotonic time. It is read once: if it changed when the system clock is set, the converted start time
+# of each endpoint would change too, and look like a restart of the endpoint.
 UNIX_OFFSET_US = (time.time_ns() - time.monotonic_ns()) // 1000
 
 
 def now_us() -> int:
+    """Return the monotonic time in microseconds."""
     return time.monotonic_ns() // 1000
 
 
 class Timer:
-    """Calls back once the clock has reached `due_us`.
+    """Calls `callback` once the clock has reached `due_us`, and never earlier.
 
-    The loop keeps time in whole milliseconds and rounds: a plain `call_later` may come up to one too early,
-    and the module would find its own deadline still ahead.
+    The event loop rounds times to whole milliseconds: a plain `call_later` may fire up to one millisecond early, when
+    the decision module's own deadline has not been reached yet.
     """
 
     __slots__ = ("_callback", "_handle", "due_us")
@@ -31,9 +32,9 @@
 
     def _arm(self) -> None:
         delay = max(0, self.due_us - now_us()) / 1e6
-        self._handle = asyncio.get_running_loop().call_later(delay + 0.0005, self._ring)
+        self._handle = asyncio.get_running_loop().call_later(delay + 0.0005, self._fire)
 
-    def _ring(self) -> None:
+    def _fire(self) -> None:
         if now_us() < self.due_us:
             self._arm()
         else:
--- a/eiderhub/sidecar/config.py
+++ b/eiderhub/sidecar/config.py
@@ -15,7 +15,7 @@
 from eiderhub.settings import parse_settings
 from eiderhub.sidecar.resource_limits import ResourceLimits
 
-SOCKETS, MEMORY_MB = 1024, 192  # where the configuration states no limit
+DEFAULT_SOCKETS, DEFAULT_MEMORY_MB = 1024, 192  # where the configuration states no limit
 
 
 class ConfigError(Exception):
@@ -74,8 +74,8 @@
     return float(value)
 
 
-def _discovery(text: object, elsewhere: bool) -> Address | None:
-    if not text and elsewhere:
+def _discovery(text: object, has_other_source: bool) -> Address | None:
+    if not text and has_other_source:
         return None
     return parse_address(text, "discovery")
 
@@ -88,7 +88,7 @@
     return config_from(_document(path), environ)
 
 
-def config_from(document: Any, environ: Mapping[str, str], elsewhere: bool = False) -> Config:
+def config_from(document: Any, environ: Mapping[str, str], has_other_source: bool = False) -> Config:
     """A configuration from the decoded file; `elsewhere`: endpoints may come from another source alone.
 
     Raises `ConfigError`.
@@ -111,11 +111,11 @@
         listen=parse_address(environ.get("GW_LISTEN") or document.get("listen"), "GW_LISTEN"),
         discovery=_discovery(
             document.get("discovery") or environ.get("GW_DISCOVERY"),
-            elsewhere or bool(known.entries),  # a fixed list of endpoints
+            has_other_source or bool(known.entries),  # a fixed list of endpoints
         ),
         seed=_seed(document.get("seed")),
         bounds=ResourceLimits.divide(
-            int(_limit(document, "sockets", SOCKETS)), _limit(document, "memory_mb", MEMORY_MB)
+            int(_limit(document, "sockets", DEFAULT_SOCKETS)), _limit(document, "memory_mb", DEFAULT_MEMORY_MB)
         ),
         known=known,
         settings=settings,
--- a/eiderhub/sidecar/host.py
+++ b/eiderhub/sidecar/host.py
@@ -1,7 +1,7 @@
-"""The host of the decision module: carries out its actions and tells it what happens. It decides nothing.
+"""The host of the decision module: carries out its actions and reports events to it. It makes no decisions itself.
 
-It holds what the module must not be able to lose: each request has one final answer, and an alarm that
-gives it one in time whatever becomes of the module, the endpoints or the network.
+The host guarantees exactly one final answer for each accepted request. A timer for each request sends that answer
+before the deadline even if the decision module, the endpoints or the network fail.
 """
 
 from __future__ import annotations
@@ -26,25 +26,25 @@
 from eiderhub.sidecar.resource_limits import ANSWER_MARGIN_US, ByteBudget
 from eiderhub.sidecar.upstream import Attempt, Upstream
 
-AGENT_WAIT_US = 2_000_000  # how long a new process waits for the agent's list before it serves from the known one
+AGENT_WAIT_US = 2_000_000  # a new process waits this long for the agent's list before it serves from the known list
 log = logging.getLogger(__name__)
 
 
 class Request:
-    """One request that was taken, and its attempts."""
+    """One accepted request and its attempts. Times are in microseconds of the monotonic clock."""
 
     __slots__ = (
-        "alarm",
+        "answer_due_us",
         "answered",
         "attempts",
-        "call",
+        "call_id",
         "caller",
         "class_name",
+        "deadline_timer",
         "deadline_us",
-        "due_us",
         "hint_us",
-        "out",
         "payload",
+        "pending_attempts",
         "tenant",
     )  # fmt: skip
 
@@ -62,17 +62,17 @@
         self.tenant = tenant
         self.hint_us = hint_us
         self.deadline_us = deadline_us  # when the client gives up
-        self.due_us = deadline_us - ANSWER_MARGIN_US  # when the answer leaves at the latest
-        self.payload = payload  # what goes on to endpoints
-        self.call = ""
+        self.answer_due_us = deadline_us - ANSWER_MARGIN_US  # when the final answer is sent at the latest
+        self.payload = payload  # what is forwarded to endpoints
+        self.call_id = ""
         self.attempts: list[Attempt] = []
-        self.out = 0  # attempts that have not ended
+        self.pending_attempts = 0  # number of attempts that have not ended
         self.answered = False
-        self.alarm: Timer | None = None
+        self.deadline_timer: Timer | None = None
 
 
 class Host:
-    """Implements the module's `Actions` and feeds its `Events`."""
+    """Implements the decision module's `Actions` and calls its `Events`."""
 
     def __init__(self, config: Config) -> None:
         self.plan = config.plan or plain(config.settings)
@@ -81,24 +81,26 @@
         self.max_deadline_s = max(c.deadline_us for c in settings.classes) / 1e6
         self.requests: dict[str, Request] = {}
         self.accepted_count = 0
-        self.listed = False  # whether any list has named endpoints
-        self.informed = settings.discovery is not Discovery.PUSH  # whether what an agent has need not be waited for
-        self.closing = False  # the process ends: whoever still comes is told to go elsewhere
-        self.budget = ByteBudget(config.bounds.buffered_bytes)  # for requests and answers alike
+        self.has_listed_endpoints = False  # whether any list has contained an endpoint
+        # Whether the agent's list has arrived or is no longer waited for; only pushed lists come from an agent.
+        self.agent_wait_over = settings.discovery is not Discovery.PUSH
+        self.closing = False  # the process is ending: new requests are refused
+        self.budget = ByteBudget(config.bounds.buffered_bytes)  # shared by requests and answers
         self.upstream = Upstream(
             settings.limits.conn_idle_us,
             settings.limits.connect_timeout_us,
             config.bounds.endpoint_connections,
             self.budget,
         )
-        self.upstream.refused = self._refused
-        self.list_receiver = self.on_list  # what hears lists: the host, or what joins them with those of other sources
-        self.outcome_listener: Callable[[str, Outcome], None] | None = None  # who else is told how attempts end
-        self.watcher = self._watcher(config) if config.discovery else None
+        self.upstream.on_connection_refused = self._on_connection_refused
+        # Receives endpoint lists: this host, or an aggregator that merges them with other sources first.
+        self.list_receiver = self.on_list
+        self.outcome_listener: Callable[[str, Outcome], None] | None = None  # also called when an attempt ends
+        self.watcher = self._new_watcher(config) if config.discovery else None
         self.balancer = Balancer(settings, config.seed, self)
-        self.known = config.known
+        self.known_list = config.known
 
-    def _watcher(self, config: Config) -> Watcher:
+    def _new_watcher(self, config: Config) -> Watcher:
         assert config.discovery is not None
         return Watcher(
             config.discovery.host,
@@ -108,42 +110,49 @@
                 self.settings.discovery is Discovery.PUSH,
                 max(self.settings.rules.drain_grace_us, MIN_GRACE_US),
                 random.Random(config.seed),
-                self._place(),
+                self._poll_offset(),
                 self.settings.rules.poll_interval_us,
             ),
             lambda form, entries: self.list_receiver(form, entries),
-            self._doubt(),
+            self._new_suspicion(),
         )
 
-    def _doubt(self) -> WatchSuspicion | None:
-        """What an agent has is asked for several times within the grace: nothing is gained by asking more."""
-        s = self.settings
-        if s.discovery is Discovery.PUSH:
+    def _new_suspicion(self) -> WatchSuspicion | None:
+        """Return the suspicion state of a new watch; None for pushed lists.
+
+        An agent is polled several times within the notification's grace anyway, so extra polls would gain nothing.
+        """
+        settings = self.settings
+        if settings.discovery is Discovery.PUSH:
             return None
-        return WatchSuspicion(self._place(), s.balancers * s.tiers, s.rules.poll_interval_us)
+        return WatchSuspicion(self._poll_offset(), settings.balancers * settings.tiers, settings.rules.poll_interval_us)
 
-    def _refused(self, endpoint: str) -> None:
+    def _on_connection_refused(self, endpoint: str) -> None:
         if self.watcher is not None:
-            self.watcher.refused(endpoint)
+            self.watcher.on_connection_refused(endpoint)
 
-    def _place(self) -> float:
-        """Where this copy stands among those that ask the same discovery, from 0 to 1; tiers between one another."""
-        s = self.settings
-        return (s.rank % s.balancers + s.layer / s.tiers) / s.balancers
+    def _poll_offset(self) -> float:
+        """Return this instance's offset, in [0, 1), among the instances that poll the same discovery service.
+
+        The offsets of the tiers are interleaved.
+        """
+        settings = self.settings
+        return (settings.rank % settings.balancers + settings.layer / settings.tiers) / settings.balancers
 
     def start(self) -> None:
-        """Start the module on the list that was known last, which is in use until discovery answers."""
-        self.balancer.start(now_us(), bool(self.known.entries))
-        self.list_receiver(ListForm.CACHED, self.known.entries)
+        """Start the decision module with the last known list, which is used until discovery answers."""
+        self.balancer.start(now_us(), bool(self.known_list.entries))
+        self.list_receiver(ListForm.CACHED, self.known_list.entries)
         if self.settings.discovery is Discovery.PUSH:
             self.tail(True)
-            Timer(now_us() + AGENT_WAIT_US, self._inform)  # an agent may be silent: then the known list has to do
+            # An agent may not respond at all: the known list is served then.
+            Timer(now_us() + AGENT_WAIT_US, self._end_agent_wait)
 
     def reload(self, config: Config) -> None:
-        """Take from a new configuration what may change while the process runs: routes, and where discovery is.
+        """Apply the parts of a new configuration that may change at run time: routes and the discovery address.
 
-        What is in flight ends under the class that it was taken with. The module goes first: should it fail,
-        nothing has changed yet.
+        Requests in flight keep the class that they were accepted with. The decision module is updated first, so that
+        nothing has changed if it fails.
         """
         plan = config.plan or plain(config.settings)
         if plan.variants or self.plan.variants:
@@ -154,181 +163,191 @@
             self.watcher = None
             return
         if self.watcher is None:
-            self.watcher = self._watcher(config)
+            self.watcher = self._new_watcher(config)
         self.watcher.change_address(config.discovery.host, config.discovery.port)
 
     @property
     def ready(self) -> bool:
-        """Whether callers may come.
+        """Whether the sidecar is ready for callers.
 
-        Danger: what an agent has counts as told from the first moment of a new process, and the grace may have passed
-        by the time that it serves: no call should meet the known list alone.
+        Endpoint states that the agent already knows count as notified from the start of the process, and the
+        notification's grace may have passed when it begins to serve. Callers are therefore not invited while only the
+        known list is in use.
         """
-        return self.listed and self.informed
+        return self.has_listed_endpoints and self.agent_wait_over
+
+    def _end_agent_wait(self) -> None:
+        self.agent_wait_over = True
 
-    def _inform(self) -> None:
-        self.informed = True
+    def _notify(self, event: Callable[..., None], *values: Any) -> bool:
+        """Call an event of the decision module; return whether it succeeded.
 
-    def _tell(self, event: Callable[..., None], *values: Any) -> bool:
-        """Tell the module; its failure must neither end the process nor lose what it holds."""
+        An exception in the module must neither end the process nor lose requests.
+        """
         try:
             event(now_us(), *values)
         except Exception:
-            log.exception("the module failed")
+            log.exception("the decision module failed")
             return False
         return True
 
     # --- requests ---
 
     def accept(self, request: Request) -> None:
-        """A request has come whole: from here on one answer is owed."""
+        """Accept a complete request: from here on it gets exactly one final answer."""
         if self.closing:
             request.answered = True
             request.caller.send_refusal(0)
             return
         self.accepted_count += 1
-        # An id of our own: a caller that repeats one must not meet what the module still holds under it.
-        call = request.call = f"{self.accepted_count:016x}"
-        self.requests[call] = request
-        request.alarm = Timer(request.due_us, partial(self._on_deadline, request))
-        left = request.deadline_us - now_us()
-        if not self._tell(self.balancer.order, call, request.class_name, request.tenant, left, request.hint_us):
-            self._abandon(request, FailureReason.INTERNAL_ERROR)
+        # The caller's request id is not used: a reused id would collide with a call that the module still tracks.
+        call_id = request.call_id = f"{self.accepted_count:016x}"
+        self.requests[call_id] = request
+        request.deadline_timer = Timer(request.answer_due_us, partial(self._on_deadline, request))
+        remaining_us = request.deadline_us - now_us()
+        if not self._notify(
+            self.balancer.order, call_id, request.class_name, request.tenant, remaining_us, request.hint_us
+        ):
+            self._give_up(request, FailureReason.INTERNAL_ERROR)
 
     def cancel_request(self, request: Request) -> None:
-        """The client has closed its connection: nothing more is sent for it."""
+        """Drop a request whose caller has disconnected: no answer and no further attempt is sent."""
         if not request.answered:
-            self._close(request)
-            self._tell(self.balancer.expired, request.call)
+            self._mark_answered(request)
+            self._notify(self.balancer.expired, request.call_id)
 
-    def _close(self, request: Request) -> None:
+    def _mark_answered(self, request: Request) -> None:
         request.answered = True
-        if not request.out:
+        if not request.pending_attempts:
             self._discard(request)
 
     def _discard(self, request: Request) -> None:
-        """Nothing more can come for it; its attempts point back at it, so it would be garbage in a cycle."""
-        self.requests.pop(request.call, None)
+        """Forget a finished request and break its reference cycle with its attempts, which delays reclaiming it."""
+        self.requests.pop(request.call_id, None)
         request.attempts.clear()
-        # Not before: an attempt that outlives its request, at a silent machine, must end by time as well.
-        if request.alarm is not None:
-            request.alarm.cancel()
-            request.alarm = None  # it points back at the request
+        # Not cancelled earlier: the timer also ends attempts that outlive the request at an unresponsive machine.
+        if request.deadline_timer is not None:
+            request.deadline_timer.cancel()
+            request.deadline_timer = None  # it refers back to the request
 
-    def _closes(self, request: Request) -> bool:
-        """Whether the one final answer is due now: whatever would be a second one is dropped."""
+    def _claim_answer(self, request: Request) -> bool:
+        """Return whether the caller of this method may send the final answer; False if it has been sent already."""
         if request.answered:
             return False
-        self._close(request)
+        self._mark_answered(request)
         return True
 
-    def _abandon(self, request: Request, why: FailureReason | None) -> None:
-        """Answer in place of the module, with a refusal where nothing failed, and tell it that the request is over."""
-        if self._closes(request):
+    def _give_up(self, request: Request, why: FailureReason | None) -> None:
+        """Send the final answer in place of the decision module and report the request as expired to it.
+
+        The answer is a refusal if `why` is None, and a failure otherwise.
+        """
+        if self._claim_answer(request):
             if why is None:
                 request.caller.send_refusal(0)
             else:
                 request.caller.send_failure(why)
-            self._tell(self.balancer.expired, request.call)
+            self._notify(self.balancer.expired, request.call_id)
 
     def _on_deadline(self, request: Request) -> None:
-        """Attempts end by time, and so does what the module holds: an answer is due now, not later."""
+        """Time out all attempts and send the final answer now, also for a call that the module still queues."""
         for attempt in list(request.attempts):
-            attempt.drop(Outcome.TIMEOUT)
-        self._abandon(request, FailureReason.TIMED_OUT)
+            attempt.abort(Outcome.TIMEOUT)
+        self._give_up(request, FailureReason.TIMED_OUT)
 
     def close(self) -> None:
-        """The process ends: what is still open is answered now, and so is whatever still comes.
+        """Answer all open requests, and refuse later ones, because the process is ending.
 
-        Rule 2: what was never sent on is refused, for another sidecar may serve it; of the rest nothing is promised.
+        A refusal is sent only where a retry is harmless: a request that was never forwarded is refused, so that
+        another sidecar may serve it. A request that may have run is failed.
         """
         self.closing = True
         for request in list(self.requests.values()):
-            sent = any(attempt.begun for attempt in request.attempts)
-            self._abandon(request, FailureReason.TIMED_OUT if sent else None)
+            sent = any(attempt.started for attempt in request.attempts)
+            self._give_up(request, FailureReason.TIMED_OUT if sent else None)
 
     # --- attempts ---
 
-    def _data(self, request: Request, until_us: int, now: int) -> Any:
-        """What an attempt that goes out now sends; None once the request is over."""
-        left_ms = (until_us - now) // 1000
-        if request.answered or left_ms < 1:
+    def _attempt_data(self, request: Request, until_us: int, now: int) -> Any:
+        """Return the data of an attempt that is sent now; None if the request is finished or out of time."""
+        remaining_ms = (until_us - now) // 1000
+        if request.answered or remaining_ms < 1:
             return None
-        return request.payload.data(left_ms)
+        return request.payload.data(remaining_ms)
 
-    def _ended(self, request: Request, attempt: Attempt, outcome: Outcome, reply: Reply | None) -> None:
-        request.out -= 1
-        if outcome is Outcome.OK and reply is not None and self._closes(request):
+    def _on_attempt_end(self, request: Request, attempt: Attempt, outcome: Outcome, reply: Reply | None) -> None:
+        request.pending_attempts -= 1
+        if outcome is Outcome.OK and reply is not None and self._claim_answer(request):
             request.caller.send_reply(reply)
-        if request.answered and not request.out:
+        if request.answered and not request.pending_attempts:
             self._discard(request)
         if self.outcome_listener is not None:
             self.outcome_listener(attempt.endpoint, outcome if reply is not NO_REPLY else Outcome.CANCELLED)
-        spent = now_us() - attempt.sent_us
-        told = self._tell(
+        spent_us = now_us() - attempt.sent_us
+        notified = self._notify(
             self.balancer.reply,
-            request.call,
+            request.call_id,
             attempt.number,
             attempt.endpoint,
-            spent,
+            spent_us,
             request.answered,
-            # Of what left and has no answer nothing is learned: it took no time, and nobody knows how it went.
+            # A oneway call has no reply: nothing can be learned about its latency or its outcome.
             outcome if reply is not NO_REPLY else Outcome.CANCELLED,
             reply.load() if reply is not None else None,
         )
-        if not told and not request.out:
-            self._abandon(request, FailureReason.INTERNAL_ERROR)
+        if not notified and not request.pending_attempts:
+            self._give_up(request, FailureReason.INTERNAL_ERROR)
 
     # --- the module's actions ---
 
-    def hand_off(self, call: str, endpoint: str, max_wait_us: int) -> None:
-        request = self.requests.get(call)
+    def hand_off(self, call_id: str, endpoint: str, max_wait_us: int) -> None:
+        request = self.requests.get(call_id)
         if request is None:
-            log.error("an attempt was asked for a request that is over")
+            log.error("the decision module requested an attempt for a finished request")
             return
-        until = request.due_us
+        until_us = request.answer_due_us
         if max_wait_us:
-            until = min(until, now_us() + max_wait_us)
+            until_us = min(until_us, now_us() + max_wait_us)
         attempt = Attempt(
             len(request.attempts),
             endpoint,
             request.payload.protocol,
-            partial(self._data, request, until),
-            partial(self._ended, request),
+            partial(self._attempt_data, request, until_us),
+            partial(self._on_attempt_end, request),
         )
         request.attempts.append(attempt)
-        request.out += 1
+        request.pending_attempts += 1
         if request.answered or attempt.number >= self.settings.limits.max_attempts:
-            asyncio.get_running_loop().call_soon(attempt.end, Outcome.NOT_EXECUTED)
+            asyncio.get_running_loop().call_soon(attempt.finish, Outcome.NOT_EXECUTED)
             return
-        if until < request.due_us:
-            attempt.alarm = Timer(until, partial(attempt.drop, Outcome.TIMEOUT))
+        if until_us < request.answer_due_us:
+            attempt.timer = Timer(until_us, partial(attempt.abort, Outcome.TIMEOUT))
         self.upstream.send(attempt)
 
-    def cancel(self, call: str, attempt: int) -> None:
-        request = self.requests.get(call)
+    def cancel(self, call_id: str, attempt: int) -> None:
+        request = self.requests.get(call_id)
         if request is not None and attempt < len(request.attempts):
-            # Later, for its outcome must not reach the module inside one of the module's own calls.
-            asyncio.get_running_loop().call_soon(request.attempts[attempt].drop, Outcome.CANCELLED)
+            # Deferred: the outcome must not be reported to the module while the module is still calling.
+            asyncio.get_running_loop().call_soon(request.attempts[attempt].abort, Outcome.CANCELLED)
 
-    def shed(self, call: str, wait_us: int) -> None:
-        request = self.requests.get(call)
-        if request is not None and self._closes(request):
+    def shed(self, call_id: str, wait_us: int) -> None:
+        request = self.requests.get(call_id)
+        if request is not None and self._claim_answer(request):
             request.caller.send_refusal(wait_us)
 
-    def surrender(self, call: str) -> None:
-        request = self.requests.get(call)
-        if request is not None and self._closes(request):
+    def surrender(self, call_id: str) -> None:
+        request = self.requests.get(call_id)
+        if request is not None and self._claim_answer(request):
             request.caller.send_failure(
-                FailureReason.TIMED_OUT if now_us() >= request.due_us else FailureReason.ENDPOINT_ERROR
+                FailureReason.TIMED_OUT if now_us() >= request.answer_due_us else FailureReason.ENDPOINT_ERROR
             )
 
     def timer(self, delay_us: int, mark: str) -> None:
-        Timer(now_us() + delay_us, partial(self._tell, self.balancer.wake, mark))
+        Timer(now_us() + delay_us, partial(self._notify, self.balancer.wake, mark))
 
     def tail(self, on: bool) -> None:
         if self.watcher is not None:
-            self.watcher.turn(on)
+            self.watcher.set_active(on)
 
     def disconnect(self, endpoint: str) -> None:
         self.upstream.close_idle(endpoint)
@@ -336,19 +355,24 @@
     def write_log(self, text: str) -> None:
         log.info("%s", text)
 
-    # --- what other sidecars saw ---
+    # --- peer reports ---
 
     def ready_endpoints(self) -> list[tuple[str, int]]:
-        """Endpoints that are ready: their ids and starts."""
-        return [(name, pool.target.launched_us) for name, pool in self.upstream.pools.items()]
+        """Return the ids and start times (microseconds, monotonic clock) of the ready endpoints."""
+        return [(name, pool.target.started_us) for name, pool in self.upstream.pools.items()]
 
-    def hearsay(self, parts: Mapping[str, float]) -> None:
-        self._tell(self.balancer.hearsay, parts)
+    def hearsay(self, factors: Mapping[str, float]) -> None:
+        """Pass on the factors, in 0..1, that peer reports leave of endpoints' weights."""
+        self._notify(self.balancer.hearsay, factors)
 
     # --- discovery ---
 
     def on_list(self, form: ListForm, entries: list[ListedEndpoint]) -> None:
-        """Rule 3: the pools learn first, so that nothing new leaves for what drains or is gone."""
+        """Apply an endpoint list or a change of it.
+
+        The connection pools are updated before the decision module, so that no new attempt is sent to a draining or
+        removed endpoint.
+        """
         if form in (ListForm.FULL, ListForm.CACHED):
             for missing in self.upstream.pools.keys() - {entry.endpoint.id for entry in entries}:
                 self.upstream.remove_endpoint(missing)
@@ -357,6 +381,6 @@
                 self.upstream.set_endpoint(endpoint.id, host, port, endpoint.started_us, endpoint.labels)
             else:
                 self.upstream.remove_endpoint(endpoint.id)
-        self.listed = self.listed or bool(entries)
-        self.informed = self.informed or form in (ListForm.FULL, ListForm.DELTA)
-        self._tell(self.balancer.discovery, form, [entry.endpoint for entry in entries])
+        self.has_listed_endpoints = self.has_listed_endpoints or bool(entries)
+        self.agent_wait_over = self.agent_wait_over or form in (ListForm.FULL, ListForm.DELTA)
+        self._notify(self.balancer.discovery, form, [entry.endpoint for entry in entries])
--- a/eiderhub/sidecar/protocol_interface.py
+++ b/eiderhub/sidecar/protocol_interface.py
@@ -1,7 +1,8 @@
-"""What a protocol brings to the host, in the host's terms: who asked, what is asked, and connections to endpoints.
+"""The interface between the host and the protocols: callers, payloads, replies and connections to endpoints.
 
-The host, the pools, the bounds and the drains are shared and know no protocol by name. A protocol's server side makes
-`Request`s and words the one answer; its client side makes `Link`s, on which attempts go out and end with one outcome.
+The host, the connection pools, the resource limits and the drain are shared by all protocols and independent of them.
+The server side of a protocol creates `Request`s and encodes the final answers. The client side creates
+`EndpointConnection`s, on which attempts are sent and end with one outcome each.
 """
 
 from __future__ import annotations
@@ -19,107 +20,117 @@
 
 
 class FailureReason(Enum):
-    """Why a request that was taken has no answer of an endpoint, where no promise is made of what has run."""
+    """Why an accepted request has no answer from an endpoint. The request may have run."""
 
-    ENDPOINT_ERROR = "error"  # an endpoint failed, or what became of it can't be known
-    TIMED_OUT = "time"  # its time is up
-    INTERNAL_ERROR = "broken"  # the sidecar itself failed
+    ENDPOINT_ERROR = "endpoint_error"  # an endpoint failed, or the outcome is unknown
+    TIMED_OUT = "timed_out"
+    INTERNAL_ERROR = "internal_error"  # the sidecar itself failed
 
 
 class Reply(Protocol):
-    """A whole answer of an endpoint, as its protocol keeps it."""
+    """A complete answer of an endpoint, in the representation of its protocol."""
 
     def load(self) -> LoadReport | None:
-        """What the endpoint says of its load."""
+        """Return the endpoint's load report, if the answer contains one."""
 
 
 class Caller(Protocol):
-    """Who asked: takes the one final answer, by one of these, and words it in its protocol."""
+    """The sender of a request: encodes the one final answer, by one of these methods, in its protocol."""
 
     def send_reply(self, reply: Any) -> None: ...
 
     def send_refusal(self, wait_us: int) -> None:
-        """Trying again does no harm, after so long; 0 where nothing is known of when."""
+        """Send an answer that promises no effect: a retry is harmless after `wait_us`, 0 if no time is known."""
 
     def send_failure(self, why: FailureReason) -> None: ...
 
 
 class Payload(Protocol):
-    """What is asked, as it goes out: made by the server side, written by the client side of one protocol."""
+    """The content of a request: created by the server side, and sent by the client side, of one protocol."""
 
     @property
     def protocol(self) -> ClientProtocol:
-        """How it is spoken: the attempt goes out on a link of this wire."""
+        """The protocol whose connections can carry this payload."""
 
-    def data(self, left_ms: int) -> Any:
-        """What one attempt, which may take so long, sends: bytes, or what the links of this wire make bytes of."""
+    def data(self, remaining_ms: int) -> Any:
+        """Return what one attempt sends if it may take `remaining_ms`.
+
+        The result is bytes, or an object that the connections of this protocol encode.
+        """
 
 
 class ClientProtocol(Protocol):
-    """The client side of a protocol. One object for each way to speak to an endpoint, so that pools tell them apart."""
+    """The client side of a protocol.
+
+    There is one object for each variant (such as an encoding); pools compare these objects by identity.
+    """
 
     def for_labels(self, labels: frozenset[str]) -> ClientProtocol:
-        """How to speak to an endpoint that states these facts of itself."""
+        """Return the variant for an endpoint with these labels."""
 
     def new_connection(self, owner: ConnectionOwner, budget: ByteBudget) -> EndpointConnection: ...
 
 
 class ConnectionOwner(Protocol):
-    """Who opened a link, and is told what comes of it."""
+    """The creator of a connection, which receives its events."""
 
-    def on_response(self, link: Any, attempt: Attempt | None, reply: Any, reusable: bool) -> None: ...
+    def on_response(self, connection: Any, attempt: Attempt | None, reply: Any, reusable: bool) -> None: ...
 
-    def on_lost(self, link: Any) -> None: ...
+    def on_lost(self, connection: Any) -> None: ...
 
 
 class EndpointConnection(asyncio.Protocol):
-    """One connection that we opened. What a socket is to all protocols stands here; what comes on it in theirs.
+    """One connection to an endpoint. This class handles the socket; its subclasses parse what is received.
 
-    A link carries as many attempts at a time as `room` says; the pools put no more on it.
+    The pools send no more attempts on a connection than `free_slots` allows.
     """
 
-    protocol: ClientProtocol  # the one that made it
-    reuse_delay_us = 0  # how long it rests after an answer, where the next one can't be told from a late second copy
+    protocol: ClientProtocol  # the variant that created this connection
+    # How long a connection is not reused after an answer: for protocols in which a late duplicate of that answer
+    # can't be distinguished from the next answer.
+    reuse_delay_us = 0
 
     def __init__(self, owner: ConnectionOwner) -> None:
         self.owner = owner
         self.attempt: Attempt | None = None
         self.busy = False
-        self.flushed = False  # whether the last byte of what was sent has left for the kernel
+        self.flushed = False  # whether the kernel has taken the last byte that was sent
         self.closed = False
         self.idle_since_us = 0
-        self.last_reply_us = 0  # when the last whole answer came on it
-        self.target: object = None  # the address and the process that it was opened to
-        self.partial_read_us = 0  # when the last bytes of an answer that is not whole came; 0: none has begun
+        self.last_reply_us = 0  # when the last complete answer was received
+        self.target: object = None  # the address and start time of the endpoint that it was opened to
+        self.partial_read_us = 0  # when bytes of an incomplete answer were last received; 0: no answer has begun
 
-    # --- what the pools ask ---
+    # --- called by the pools ---
 
     @property
     def free_slots(self) -> int:
-        """How many more attempts it may carry."""
+        """How many more attempts may be sent now."""
         return 0 if self.busy or self.closed else 1
 
     def start_attempt(self, attempt: Attempt, data: Any) -> None:
-        """Send what an attempt's payload has made for it.
+        """Send the data of an attempt.
 
-        Raises ValueError where that can't be said on this link; nothing is written then.
+        Raises ValueError, and writes nothing, if this connection cannot carry the data.
         """
         self.attempt = attempt
         self.send(data)
 
     def outcome(self, reply: Any) -> Outcome:
-        """What a whole answer means to the attempt that it ends."""
+        """Return the outcome that a complete answer means for its attempt."""
         raise NotImplementedError
 
     def abandon(self, attempt: Attempt) -> None:
-        """Nobody waits for this attempt any more: closing keeps its late answer from any other request."""
+        """Give up an attempt and close the connection, so that a late answer reaches no other request."""
         self.attempt = None
         self.owner.on_lost(self)
         self.close()
 
     def detach_attempts(self) -> list[tuple[Attempt, Outcome]]:
-        """The attempts that end with the connection, and how. Not wholly written: the endpoint begins with the last
-        byte, so it never ran."""
+        """Remove and return the attempts that end with the connection, with their outcomes.
+
+        An endpoint starts a request once it has the last byte: a request that was not written completely never ran.
+        """
         attempt, self.attempt = self.attempt, None
         if attempt is None:
             return []
@@ -130,15 +141,15 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         # Not `isinstance`: uvloop's transports only have the shape of asyncio's.
         self.transport = cast(asyncio.Transport, transport)
-        # With no buffer allowed, `pause_writing` tells that the kernel has not taken all of a request yet.
+        # With a limit of 0, `pause_writing` is called whenever the kernel has not taken all of a request yet.
         self.transport.set_write_buffer_limits(high=0)
         self._poll = select.poll()
         self._poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
 
     def is_stale(self) -> bool:
-        """Whether an idle connection has anything to read: its end, or what nobody asked for.
+        """Return whether an idle connection has input: its end, or unsolicited data.
 
-        Guards against writing an unsafe request to a connection whose end the loop has not come to yet.
+        Prevents writing an unsafe request to a connection whose end the event loop has not processed yet.
         """
         return self.closed or bool(self._poll.poll(0))
 
@@ -153,7 +164,7 @@
         self.flushed = True
 
     def close(self) -> None:
-        """Give up what is out: whatever still comes on this connection reaches nobody."""
+        """Abort the connection; anything received later is discarded."""
         if not self.closed:
             self.closed = True
             self.transport.abort()
@@ -168,17 +179,17 @@
             self.owner.on_lost(self)
 
     def release_resources(self) -> None:
-        """The connection has ended: give back what is held, and undo what would be a cycle."""
+        """Release buffered bytes and break reference cycles after the connection has ended."""
 
     def fail(self) -> None:
-        """End what is out, and the connection, for what came or did not come on it."""
+        """Close the connection and end its attempts after invalid, unexpected or missing input."""
         if not self.closed:
             self.close()
             self.owner.on_lost(self)
 
 
 class NoReply:
-    """In place of a reply: a call that has none has left, its last byte included. Nothing can be learned of it."""
+    """The result of a oneway call that was sent completely. It has no answer and no known outcome."""
 
     def load(self) -> LoadReport | None:
         return None
--- a/tests/test_caller_disconnects.py
+++ b/tests/test_caller_disconnects.py
@@ -89,12 +89,12 @@
                 client.send("pay", deadline_ms=30_000)
             out = [await fake.next()]
             while sidecar.host.balancer.queue.count == 0 or fake.received.qsize() + len(out) < sum(
-                request.out for request in sidecar.host.requests.values()
+                request.pending_attempts for request in sidecar.host.requests.values()
             ):
                 await asyncio.sleep(0)
             while not fake.received.empty():
                 out.append(await fake.next())
-            held = [r for r in sidecar.host.requests.values() if not r.out]
+            held = [r for r in sidecar.host.requests.values() if not r.pending_attempts]
             assert held
             waiting = {r.caller.transport.get_extra_info("peername") for r in held}  # type: ignore[attr-defined]
             for client in clients:
@@ -145,9 +145,9 @@
             (attempt,) = request.attempts
             if first == "end":
                 sidecar.host.cancel_request(request)
-                attempt.drop(Outcome.RESET)
+                attempt.abort(Outcome.RESET)
             else:
-                attempt.drop(Outcome.RESET)  # the module sends another at once; its connection is still to come up
+                attempt.abort(Outcome.RESET)  # the module sends another at once; its connection is still to come up
                 assert len(request.attempts) == 2
                 sidecar.host.cancel_request(request)
             client = await sidecar.client()
--- a/tests/test_connection_races.py
+++ b/tests/test_connection_races.py
@@ -114,7 +114,7 @@
             time.sleep(0.06)
         assert await ended.get() is Outcome.CONNECT_FAILED
         assert await fake.ends.get() == 0  # the descriptor is gone too
-        assert upstream.open_connections == 0 and not upstream.pools["e"].idle and not attempt.begun
+        assert upstream.open_connections == 0 and not upstream.pools["e"].idle and not attempt.started
         fake.server.close()
 
     run(test())
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -318,9 +318,9 @@
 
 def test_lag_of_the_loop_is_logged(monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        monkeypatch.setattr(entry, "LAG_EVERY_S", 0.01)
-        monkeypatch.setattr(entry, "LAG_LOG_S", 0.02)
-        watch = asyncio.create_task(entry.watch_lag())
+        monkeypatch.setattr(entry, "LAG_CHECK_INTERVAL_S", 0.01)
+        monkeypatch.setattr(entry, "LAG_LOG_INTERVAL_S", 0.02)
+        watch = asyncio.create_task(entry.log_loop_lag())
         await asyncio.sleep(0)
         time.sleep(0.1)  # what a slow handler does to all requests
         while not caplog.records:
@@ -332,10 +332,10 @@
 
 
 def test_log_lets_few_lines_through_each_second() -> None:
-    sparse = entry.Sparse()
+    sparse = entry.RateLimitFilter()
     records = [logging.makeLogRecord({"created": 7.0 + i / 1000}) for i in range(1001)]
     passed = [record for record in records if sparse.filter(record)]
-    assert len(passed) == entry.LINES_PER_S + 1  # the last record is of the next second
+    assert len(passed) == entry.MAX_LINES_PER_S + 1  # the last record is of the next second
     assert passed[-1] is records[-1]
 
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -241,7 +241,7 @@
     """The request has run: an unsafe one is not sent again, and nothing of the answer is passed on."""
 
     async def test() -> None:
-        monkeypatch.setattr(upstream, "STALL_US", 100_000)
+        monkeypatch.setattr(upstream, "STALL_TIMEOUT_US", 100_000)
         async with Sidecar(endpoints=2) as sidecar:
             asked, client = await one_attempt(sidecar)
             asked.writer.write(raw)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -162,7 +162,7 @@
             doubt.reply(*answer)
             assert await sidecar.discovery.ends.get() == doubt.connection
             await find_them_refusing(sidecar)
-            assert sidecar.watcher._beside is None  # it was asked a moment ago
+            assert sidecar.watcher._recheck_task is None  # it was asked a moment ago
             watch.reply(200, listing(2, False, row("s-9", fresh.address)))
             assert (await sidecar.discovery.next()).connection == watch.connection
             assert "s-9" in sidecar.host.upstream.pools
@@ -175,15 +175,15 @@
         async with Sidecar(endpoints=2) as sidecar:
             watch = await sidecar.discovery.next()
             watcher = sidecar.watcher
-            assert watcher.doubt is not None
-            watcher.doubt.delay_us = 60_000_000
+            assert watcher.suspicion is not None
+            watcher.suspicion.delay_us = 60_000_000
             await both_refuse(sidecar)
-            waits = watcher._beside
+            waits = watcher._recheck_task
             assert waits is not None
             watch.reply(200, listing(2, False))
             await sidecar.discovery.next()
             assert waits.cancelled()
-            assert watcher._beside is None
+            assert watcher._recheck_task is None
 
     run(test())
 
@@ -243,7 +243,7 @@
             ended = {await sidecar.discovery.ends.get() for _ in range(2)}
             assert ended == {watch.connection, doubt.connection}
             await find_them_refusing(sidecar)
-            assert sidecar.watcher._beside is None
+            assert sidecar.watcher._recheck_task is None
 
     run(test())
 
@@ -252,7 +252,7 @@
     async def test() -> None:
         async with Sidecar(endpoints=2, Discovery="push") as sidecar:
             await both_refuse(sidecar)
-            assert sidecar.watcher._beside is None
+            assert sidecar.watcher._recheck_task is None
 
     run(test())
 
