--- a/eiderhub/protocols/thrift/server.py
+++ b/eiderhub/protocols/thrift/server.py
@@ -115,7 +115,7 @@
         self._serve()
 
     @property
-    def idle_s(self) -> float:
+    def idle_timeout_s(self) -> float:
         return self.server.options.idle_us / 1e6
 
     @property
--- a/eiderhub/sidecar/__init__.py
+++ b/eiderhub/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The real sidecar: hosts one instance of the decision module on sockets."""
+"""The sidecar: runs one instance of the decision module on real sockets."""
--- a/eiderhub/sidecar/__main__.py
+++ b/eiderhub/sidecar/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one sidecar, reloads on SIGHUP, ends on SIGTERM, and sets the exit status."""
+"""Runs one sidecar: reloads the configuration on SIGHUP, drains on SIGTERM, and sets the exit status."""
 
 from __future__ import annotations
 
@@ -19,20 +19,22 @@
 from eiderhub.sidecar.config import Config, ConfigError, load, needs_restart
 from eiderhub.sidecar.host import Host
 
-ACCEPT_PERIOD_S = 0.6  # new connections are taken for so long after SIGTERM: the front sends some for up to 0.4 s
-MAX_DRAIN_S = 3.0  # SIGKILL comes this, or the longest deadline if that is shorter, and 0.7 s after SIGTERM
-DRAIN_MARGIN_S = 0.45  # so that everything is answered by then
-KEEP_SERVING_SHARE = 0.75  # of that time, how long kept connections are served: the rest is for what is open then
-FLUSH_TIMEOUT_S = 0.15  # for the last bytes to leave, at the most
+# New connections are accepted for this long after SIGTERM, since the front end opens some for up to 0.4 s.
+ACCEPT_PERIOD_S = 0.6
+# SIGKILL follows SIGTERM after the longest deadline, or after this if it is shorter, plus 0.7 s.
+MAX_DEADLINE_WAIT_S = 3.0
+DRAIN_MARGIN_S = 0.45  # added to that deadline; below 0.7 s, so that everything is answered before SIGKILL
+KEEP_SERVING_SHARE = 0.75  # of the drain, for serving kept connections; the rest is for requests still open then
+FLUSH_TIMEOUT_S = 0.15  # for sending the last bytes
 LAG_CHECK_INTERVAL_S = 0.1
 LAG_LOG_INTERVAL_S = 10.0
-LAG_LOG_THRESHOLD_US = 50_000  # a lag that eats a good part of the margin for answers
+LAG_LOG_THRESHOLD_US = 50_000  # a lag that takes up a large part of the margin for sending answers
 MAX_LINES_PER_S = 20
 log = logging.getLogger("eiderhub.sidecar")
 
 
 class RateLimitFilter(logging.Filter):
-    """Lets through so many lines a second: a log that runs full would hold up every request."""
+    """Passes at most `MAX_LINES_PER_S` lines a second: writing to a log that is full would block every request."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -47,7 +49,7 @@
 
 
 async def log_loop_lag() -> None:
-    """Log the longest lag of the event loop, sparsely: it adds to every latency that is measured here."""
+    """Log the longest lag of the event loop in each interval: it adds to every latency that is measured here."""
     max_lag_us, next_log = 0, now_us() + int(LAG_LOG_INTERVAL_S * 1e6)
     while True:
         started_us = now_us()
@@ -61,13 +63,13 @@
 
 
 async def drain(listeners: Sequence[asyncio.Server], callers: Callers, host: Host) -> None:
-    """Answer all that was taken, in time for SIGKILL, while new callers are sent elsewhere.
+    """Answer all accepted requests before SIGKILL, while new callers are directed to other sidecars.
 
-    Callers use the connections that they have for as long as these stay open, so those are served on for a
-    while. Closing them at once would send a whole sidecar's load to its neighbours in one moment, and to
-    nobody where the neighbour is about to come back from a restart of its own.
+    Callers use their connections for as long as these stay open, so kept connections are served for a while. Closing
+    them at once would move a whole sidecar's load to its neighbours in one moment; that load would be lost if the
+    neighbour is itself still restarting.
     """
-    drain_s = min(MAX_DRAIN_S, callers.max_deadline_s) + DRAIN_MARGIN_S
+    drain_s = min(MAX_DEADLINE_WAIT_S, callers.max_deadline_s) + DRAIN_MARGIN_S
     started_us = now_us()
     callers.draining = True
     await asyncio.sleep(ACCEPT_PERIOD_S)
@@ -80,7 +82,7 @@
         await asyncio.sleep(0.01)
     host.close()
     flush_until_us = now_us() + int(FLUSH_TIMEOUT_S * 1e6)
-    await asyncio.sleep(0)  # what the last turn read is taken in, at the least once
+    await asyncio.sleep(0)  # process the input of the last loop iteration at least once
     while callers.has_unfinished_work() and now_us() < flush_until_us:
         callers.close_idle()
         await asyncio.sleep(0.005)
@@ -89,13 +91,14 @@
 
 
 async def close_listener(listener: asyncio.Server) -> None:
-    """Close it at a moment when nothing waits in its backlog.
+    """Close a listener at a moment when its backlog is empty.
 
-    Rule 1: the machine has accepted those, and requests may be on them; closing resets them unseen.
+    The kernel has accepted the connections in the backlog, and requests may have been sent on them: closing the
+    listener resets them, and those requests would get no answer.
     """
     poll = select.poll()
     poll.register(listener.sockets[0].fileno(), select.POLLIN)
-    for _ in range(BACKLOG):  # the loop takes one in each turn; a flood that never ends is left to its reset
+    for _ in range(BACKLOG):  # the loop accepts one in each iteration; a flood without end is reset eventually
         if not poll.poll(0):
             break
         await asyncio.sleep(0)
@@ -103,21 +106,22 @@
 
 
 class Reloader:
-    """SIGHUP: reads and checks the files beside the loop, one reading at a time, and takes the newest whole.
+    """Reloads the configuration on SIGHUP: reads and checks the files in a thread, one read at a time.
 
-    A check of a large file takes a good part of a second, in which every request would stand still. What is read is
-    held to what a start holds it to, no less and no more: a platform's file that starts may not be refused later.
+    Checking a large file takes a large part of a second, in which the event loop would serve no request. The checks
+    are the same as at the start: a platform's file with which a sidecar starts must not be rejected by a reload.
     """
 
     def __init__(self, host: Host, config: Config, operator: str | None) -> None:
         self.host = host
         self.config = config
         self.operator = operator
-        self.on_reload: Callable[[Config], None] | None = None  # who else is told of a new configuration
+        self.on_reload: Callable[[Config], None] | None = None  # also called with each applied configuration
         self._requested = False
         self._task: asyncio.Task[None] | None = None
 
     def request_reload(self) -> None:
+        """Reload now, or once more after the reload that is running."""
         self._requested = True
         if self._task is None:
             self._task = asyncio.get_running_loop().create_task(self._run())
@@ -127,12 +131,12 @@
             self._requested = False
             try:
                 self._apply(await asyncio.to_thread(self._read))
-            except Exception as error:  # whatever is wrong with a file, it must not end a process that serves
+            except Exception as error:  # no fault in a file may end a process that serves
                 log.error("the configuration is not taken: %s", error)
         self._task = None
 
     def _read(self) -> Config:
-        new_config = load_config(self.operator)
+        new_config = _load_config(self.operator)
         changed = needs_restart(self.config, new_config)
         if changed:
             raise ConfigError(f"a restart is needed for {', '.join(changed)}; nothing has changed")
@@ -147,12 +151,12 @@
 
 
 def port_of(listener: asyncio.Server) -> int:
-    """The one that was taken, where the file asks for any."""
+    """Return the port that a listener is bound to, which the system chooses if the file gives port 0."""
     return int(listener.sockets[0].getsockname()[1])
 
 
 async def open_thrift_port(config: Config, host: Host, callers: Callers) -> asyncio.Server:
-    """The port for Thrift; what it needs is imported only where there is one."""
+    """Open the Thrift port. The Thrift modules are imported only if it is configured."""
     from eiderhub.protocols.thrift import server as thrift
 
     server = thrift.Server(host, callers, config.thrift)
@@ -162,6 +166,7 @@
 
 
 async def serve(config: Config, operator: str | None) -> None:
+    """Run a sidecar until SIGTERM or SIGINT, and drain it. Raises OSError if an address is not available."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
@@ -177,14 +182,13 @@
         listeners.append(await open_thrift_port(config, host, callers))
     consul = None
     if config.consul is not None:
-        from eiderhub.membership.source_aggregator import (
-            add_consul_source,  # off where the operator's file says nothing of it
-        )
+        # Imported only if the operator's file configures it.
+        from eiderhub.membership.source_aggregator import add_consul_source
 
         consul = add_consul_source(config.consul, host)
     fleet = None
     if config.fleet is not None:
-        from eiderhub.fleet.node import join_fleet  # off where the operator's file says nothing of it
+        from eiderhub.fleet.node import join_fleet  # imported only if the operator's file configures it
 
         fleet = join_fleet(config.fleet, host)
     host.start()
@@ -195,7 +199,7 @@
         reloader.on_reload = lambda new_config: fleet.adopt(new_config.fleet.build)
     coroutines = (host.upstream.sweep(), callers.watch_timeouts(), log_loop_lag())
     background = [loop.create_task(coroutine) for coroutine in coroutines]
-    # What lives from here to the end need not be walked again: a full collection holds up every request.
+    # Objects that live until the end need not be traversed again: a full collection delays every request.
     gc.collect()
     gc.freeze()
     gc.set_threshold(20_000, 20, 50)
@@ -212,26 +216,30 @@
         task.cancel()
 
 
-def load_config(operator: str | None) -> Config:
+def _load_config(operator: str | None) -> Config:
+    """Load the configuration from the environment and, if given, the operator's file. Raises ConfigError."""
     if operator is None:
         return load(os.environ)
-    from eiderhub.config.load import checked  # not for a sidecar without an operator's file
+    from eiderhub.config.load import checked  # not needed without an operator's file
 
     return checked(os.environ, operator)
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run one sidecar: `[--operator FILE]`, all else by the environment. The exit status is 0 after a drain."""
-    arguments_list = list(sys.argv[1:] if arguments is None else arguments)
-    if arguments_list and (len(arguments_list) != 2 or arguments_list[0] != "--operator"):
+    """Run one sidecar with the arguments `[--operator FILE]`; all other settings come from the environment.
+
+    Returns the exit status: 0 after a drain, 1 if the sidecar can't start, 2 for wrong arguments.
+    """
+    argument_list = list(sys.argv[1:] if arguments is None else arguments)
+    if argument_list and (len(argument_list) != 2 or argument_list[0] != "--operator"):
         print("usage: eiderhub sidecar [--operator FILE]; GW_CONFIG names the sidecar's file", file=sys.stderr)
         return 2
-    operator = arguments_list[1] if arguments_list else None
+    operator = argument_list[1] if argument_list else None
     handler = logging.StreamHandler()
     handler.addFilter(RateLimitFilter())
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s", handlers=[handler])
     try:
-        config = load_config(operator)
+        config = _load_config(operator)
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(serve(config, operator))
     except (ConfigError, OSError) as error:
--- a/eiderhub/sidecar/callers.py
+++ b/eiderhub/sidecar/callers.py
@@ -1,4 +1,4 @@
-"""Callers' connections of all protocols: their bound, and who is closed when there are too many or one is idle."""
+"""Connections of callers, for all protocols: their limit, their timeouts, and which one is closed at the limit."""
 
 from __future__ import annotations
 
@@ -10,52 +10,54 @@
 from eiderhub.sidecar.clock import now_us
 from eiderhub.sidecar.resource_limits import ByteBudget
 
-FIRST_REQUEST_TIMEOUT_S = 2.6  # from connecting to a first whole request: an error or a close is due within 3 s
-IDLE_TIMEOUT_S = 5.0  # between requests, so that callers that never come back do not add up
-EVICTABLE_IDLE_S = 2.0  # a connection idle for so long may be closed to make room for a new one
+# From connecting to the first complete request. The caller must get an error or a close within 3 s.
+FIRST_REQUEST_TIMEOUT_S = 2.6
+IDLE_TIMEOUT_S = 5.0  # between requests, so that abandoned connections do not accumulate
+EVICTABLE_IDLE_S = 2.0  # a connection idle for this long may be closed in favour of a new one
 CHECK_INTERVAL_S = 0.1
-OVER_LIMIT_DIVISOR = 16  # one in so many connections is kept for callers that are only told that there is no room
-ARRIVAL_GRACE_S = 0.1  # a caller that has just connected has its first request on the way
-LINGER_S = 1.0  # how long input is still read after an answer that the caller may not be waiting for yet
+# One in this many connections is reserved for callers over the limit, whose first request is refused.
+OVER_LIMIT_DIVISOR = 16
+ARRIVAL_GRACE_S = 0.1  # the first request of a new connection may be on its way for this long
+LINGER_S = 1.0  # how long input is still read after a final answer that the caller may not be reading yet
 log = logging.getLogger(__name__)
 
 
 class BaseCallerConnection(asyncio.Protocol):
-    """One caller's connection: what a socket is to all protocols. What comes on it, each protocol reads itself."""
+    """One caller's connection. This class handles the socket; the subclass of each protocol parses the input."""
 
     def __init__(self, callers: Callers) -> None:
         self.callers = callers
-        self.established = False  # whether it ever made a valid request
-        self.receiving = False
-        self.state_since_us = now_us()  # when it connected, began what is coming in, fell idle, or ended
-        self.input_closed = False  # nothing that still comes is read
-        self.disconnected = False  # the caller has left
-        self.reading_paused = False  # nothing is read for now, so its end would not be heard either
+        self.established = False  # whether it has sent a valid request
+        self.receiving = False  # whether a request is partly received
+        self.state_since_us = now_us()  # when it connected, began the current request, became idle, or ended
+        self.input_closed = False  # further input is discarded
+        self.disconnected = False  # the caller has closed the connection
+        self.reading_paused = False  # while reading is paused, the end of the connection is not reported either
         self.write_blocked = False  # the caller does not read its answers
-        self.reserved_bytes = 0  # bytes of bodies, against the budget
+        self.reserved_bytes = 0  # of the budget, for bodies
 
-    # --- what each protocol says of itself ---
+    # --- implemented by each protocol ---
 
     @property
-    def idle_s(self) -> float:
-        """How long it may be between requests."""
+    def idle_timeout_s(self) -> float:
+        """How long the connection may be idle between requests."""
         return IDLE_TIMEOUT_S
 
     @property
     def answering(self) -> bool:
-        """Whether an answer is owed."""
+        """Whether a request has no answer yet."""
         raise NotImplementedError
 
     def on_read_timeout(self) -> None:
-        """What is coming in has not come whole in time."""
+        """Handle a request that was not received completely in time."""
         raise NotImplementedError
 
     def on_disconnect(self) -> None:
-        """The caller has left: whatever was asked on it is over. It may be told twice."""
+        """Drop the caller's requests after it has disconnected. This may be called twice."""
         raise NotImplementedError
 
     def resume(self) -> None:
-        """Answers leave again: go on with what waits."""
+        """Continue with waiting requests, now that answers can be written again."""
         raise NotImplementedError
 
     # --- the socket ---
@@ -66,16 +68,16 @@
         self.callers.add(self)
 
     def eof_received(self) -> bool:
-        """A caller that closes has gone away, whatever it still could read.
+        """Treat a caller that closes its side as disconnected, even if it could still read answers.
 
-        Not only with `connection_lost`: that waits until earlier answers have left, for a caller that may not read.
+        `connection_lost` comes too late: it waits until earlier answers are sent, which the caller may never read.
         """
-        self.state_since_us = now_us()  # `check` counts from here
+        self.state_since_us = now_us()  # `check_timeouts` measures from here
         self._disconnect()
         return False
 
     def pause_writing(self) -> None:
-        """Guards against answers that pile up unread: nothing more is read until they have left."""
+        """Stop reading until the written answers have been sent, so that unread answers do not accumulate."""
         self.write_blocked = True
         self.set_reading(False)
 
@@ -92,47 +94,50 @@
         self.release_budget()
         self.on_disconnect()
 
-    def set_reading(self, on: bool) -> None:
+    def set_reading(self, enabled: bool) -> None:
+        """Pause or resume reading from the socket."""
         if not self.transport.is_closing():
-            self.reading_paused = not on
-            (self.transport.resume_reading if on else self.transport.pause_reading)()
+            self.reading_paused = not enabled
+            (self.transport.resume_reading if enabled else self.transport.pause_reading)()
 
     def release_budget(self) -> None:
+        """Return all bytes that this connection has reserved."""
         self.callers.budget.release(self.reserved_bytes)
         self.reserved_bytes = 0
 
     @property
     def is_over_limit(self) -> bool:
-        """Whether there is no room for it. HTTP refuses its first request; other protocols serve it all the same."""
+        """Whether it exceeds the limit on connections. HTTP refuses its first request; other protocols serve it."""
         return self in self.callers.over_limit
 
     @property
     def busy(self) -> bool:
+        """Whether a request is open or partly received."""
         return self.answering or self.receiving
 
     def begin_request(self) -> None:
-        """A request comes in; the first one counts from connecting."""
+        """Note that a request begins; the time of the first one is measured from connecting."""
         self.receiving = True
         self.state_since_us = now_us() if self.established else self.state_since_us
         self.callers.idle.pop(self, None)
 
     def mark_established(self) -> None:
-        """It has made a valid request."""
+        """Note that the caller has sent a valid request."""
         self.established = True
         self.callers.unestablished.pop(self, None)
 
     def mark_idle(self) -> None:
-        """It is between requests."""
+        """Note that the connection is between requests."""
         self.state_since_us = now_us()
         self.callers.idle[self] = None
 
     def finish(self, unread: bool) -> None:
-        """Close; where input may be unread, not before the caller has had time to read why.
+        """Close the connection; if input may be unread, only after the caller has had time to read the last answer.
 
-        A socket that is closed with unread input is reset, and the answer on its way would be lost.
+        Closing a socket with unread input resets it, and an answer on its way would be lost.
         """
         self.input_closed = True
-        self.state_since_us = now_us()  # `check` counts from here: what was just written must have time to leave
+        self.state_since_us = now_us()  # `check_timeouts` measures from here: the answer needs time to be sent
         if unread and self.transport.can_write_eof() and not self.transport.is_closing():
             self.transport.write_eof()
             self.set_reading(True)
@@ -140,8 +145,8 @@
             self.transport.close()
 
     def check_timeouts(self, now: int) -> None:
-        """Close a caller that keeps its descriptor and asks for nothing."""
-        quiet_s = (now - self.state_since_us) / 1e6
+        """Close the connection if the caller has disconnected or has exceeded a timeout."""
+        elapsed_s = (now - self.state_since_us) / 1e6
         if self.reading_paused and self._poll(select.POLLRDHUP):
             self._disconnect()
             self.transport.abort()
@@ -149,112 +154,116 @@
         if self.answering:
             return
         if self.input_closed:
-            if quiet_s > LINGER_S:
-                self.transport.abort()  # unlike `close` it does not wait for a caller that reads nothing
+            if elapsed_s > LINGER_S:
+                self.transport.abort()  # unlike `close`, it does not wait for a caller that does not read
         elif self.receiving:
-            # One that has asked before may write slowly, but no longer than any answer would be waited for.
-            if quiet_s > (self.callers.max_deadline_s if self.established else FIRST_REQUEST_TIMEOUT_S):
+            # An established caller may write slowly, but no longer than the longest deadline of an answer.
+            if elapsed_s > (self.callers.max_deadline_s if self.established else FIRST_REQUEST_TIMEOUT_S):
                 self.on_read_timeout()
-        elif quiet_s > (self.idle_s if self.established else FIRST_REQUEST_TIMEOUT_S) and (
+        elif elapsed_s > (self.idle_timeout_s if self.established else FIRST_REQUEST_TIMEOUT_S) and (
             self.write_blocked or not self.has_unread_input()
         ):
             self.transport.abort()
 
     def has_unread_input(self) -> bool:
-        """Whether input waits in the kernel: closing now would cross a request, and that would fail."""
+        """Return whether the kernel holds unread input, such as a request that would fail if this side closed now."""
         return self._poll(select.POLLIN)
 
     def _poll(self, events: int) -> bool:
-        """Whether one of these, or an error, stands at the socket."""
+        """Return whether the socket reports one of these poll events or an error."""
         if self.transport.is_closing():
-            return False  # its descriptor may be another's already
+            return False  # its descriptor may have been reused already
         poll = select.poll()
         poll.register(self.transport.get_extra_info("socket").fileno(), events)
         return bool(poll.poll(0))
 
 
 class Callers:
-    """All callers' connections, on whichever port they came."""
+    """All callers' connections, of all ports."""
 
     def __init__(self, max_connections: int, max_deadline_s: float, budget: ByteBudget) -> None:
-        self.max_connections = max_connections  # connections that callers may have open
-        self.max_over_limit = max_connections // OVER_LIMIT_DIVISOR  # of those, for the ones that are turned away
+        self.max_connections = max_connections
+        self.max_over_limit = max_connections // OVER_LIMIT_DIVISOR  # of those, for callers over the limit
         self.over_limit: dict[BaseCallerConnection, None] = {}
-        self.max_deadline_s = max_deadline_s  # the longest that any answer is waited for
+        self.max_deadline_s = max_deadline_s  # the longest deadline of all request classes
         self.budget = budget
         self.connections: dict[BaseCallerConnection, None] = {}
-        self.unestablished: dict[BaseCallerConnection, None] = {}  # those that never made a valid request, oldest first
-        self.idle: dict[BaseCallerConnection, None] = {}  # those between requests, the longest idle first
-        self.open_request_ids: set[bytes] = set()  # of the requests that have no answer yet
-        self.draining = False  # no more callers are wanted
-        self.closing = False  # nor those that are here
+        self.unestablished: dict[BaseCallerConnection, None] = {}  # without a valid request yet, oldest first
+        self.idle: dict[BaseCallerConnection, None] = {}  # between requests, the longest idle first
+        self.open_request_ids: set[bytes] = set()  # of requests without an answer yet
+        self.draining = False  # the sidecar reports that it is not ready for new callers
+        self.closing = False  # connections are closed after their next answer
 
     def __len__(self) -> int:
         return len(self.connections)
 
-    def add(self, caller: BaseCallerConnection) -> None:
-        """Take a connection in. Past the bound one is closed, so that no call ever lacks a descriptor.
+    def add(self, connection: BaseCallerConnection) -> None:
+        """Add a new connection. At the limit another one is closed, so that no request ever lacks a descriptor.
 
-        First one that never said anything of use, then the one idle longest, then one that is still writing
-        its first request; never one whose request has come and is not read yet. Where all are at work, the new
-        one's first request is refused: a connection that closes bare tells its caller nothing, and may have crossed
-        a request. Past some of those, bare all the same.
+        The order is: a connection that has sent nothing, the longest idle connection, a connection that is still
+        writing its first request. A connection with an unread request in the kernel is never closed. If all are busy,
+        the new connection is kept over the limit and its first request is refused, because a plain close tells the
+        caller nothing and may cross a request. Beyond `max_over_limit` the new connection is closed at once.
         """
         if len(self.connections) - len(self.over_limit) >= self.max_connections - self.max_over_limit:
-            victim = self._choose_victim()
-            if victim is None and len(self.over_limit) < self.max_over_limit:
-                self.connections[caller] = self.over_limit[caller] = None
+            evicted = self._choose_evicted()
+            if evicted is None and len(self.over_limit) < self.max_over_limit:
+                self.connections[connection] = self.over_limit[connection] = None
                 return
-            victim = victim or caller
-            self.remove(victim)
-            victim.input_closed = True
-            victim.transport.abort()
-            if victim is caller:
+            evicted = evicted or connection
+            self.remove(evicted)
+            evicted.input_closed = True
+            evicted.transport.abort()
+            if evicted is connection:
                 return
-        self.connections[caller] = None
-        self.unestablished[caller] = None
-
-    def _choose_victim(self) -> BaseCallerConnection | None:
-        for caller in self.unestablished:
-            if not caller.receiving and not caller.has_unread_input():
-                return caller
-        for caller in self.idle:
-            if now_us() - caller.state_since_us <= EVICTABLE_IDLE_S * 1e6:
+        self.connections[connection] = None
+        self.unestablished[connection] = None
+
+    def _choose_evicted(self) -> BaseCallerConnection | None:
+        for connection in self.unestablished:
+            if not connection.receiving and not connection.has_unread_input():
+                return connection
+        for connection in self.idle:
+            if now_us() - connection.state_since_us <= EVICTABLE_IDLE_S * 1e6:
                 break
-            if not caller.has_unread_input():
-                return caller
-        return next((caller for caller in self.unestablished if caller.receiving), None)
+            if not connection.has_unread_input():
+                return connection
+        return next((connection for connection in self.unestablished if connection.receiving), None)
 
-    def remove(self, caller: BaseCallerConnection) -> None:
+    def remove(self, connection: BaseCallerConnection) -> None:
         for group in (self.connections, self.unestablished, self.idle, self.over_limit):
-            group.pop(caller, None)
+            group.pop(connection, None)
 
     async def watch_timeouts(self) -> None:
+        """Check the timeouts of all connections periodically, until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             now = now_us()
-            for caller in list(self.connections):
+            for connection in list(self.connections):
                 try:
-                    caller.check_timeouts(now)
-                except Exception:  # one caller's end must not leave all others unwatched
-                    log.exception("a caller could not be looked at")
+                    connection.check_timeouts(now)
+                except Exception:  # a fault with one connection must not disable the timeouts of all others
+                    log.exception("the timeouts of a caller's connection could not be checked")
 
     def close_idle(self) -> None:
-        """Close those between requests, but for what is on its way: a request on a new connection is not sent again."""
-        arriving_us = now_us() - int(ARRIVAL_GRACE_S * 1e6)
-        for caller in list(self.connections):
+        """Close the connections between requests, except those on which a request may be on its way.
+
+        Callers do not resend a request that fails on a new connection.
+        """
+        arrival_limit_us = now_us() - int(ARRIVAL_GRACE_S * 1e6)
+        for connection in list(self.connections):
             if (
-                caller.busy
-                or caller.input_closed
-                or (caller in self.unestablished and caller.state_since_us > arriving_us)
+                connection.busy
+                or connection.input_closed
+                or (connection in self.unestablished and connection.state_since_us > arrival_limit_us)
             ):
                 continue
-            if not caller.has_unread_input():
-                caller.transport.close()
+            if not connection.has_unread_input():
+                connection.transport.close()
 
     def has_unfinished_work(self) -> bool:
-        """Whether an answer is owed, is on its way out, or is asked for by what has not been read."""
+        """Return whether any request is unanswered or unread, or any answer is not sent completely."""
         return any(
-            caller.answering or caller.transport.get_write_buffer_size() or caller.has_unread_input()
-            for caller in self.connections
+            connection.answering or connection.transport.get_write_buffer_size() or connection.has_unread_input()
+            for connection in self.connections
         )
--- a/eiderhub/sidecar/config.py
+++ b/eiderhub/sidecar/config.py
@@ -1,4 +1,4 @@
-"""What a sidecar is told at its start: the environment and the JSON file that it names."""
+"""The configuration of a sidecar: the environment and the JSON file that it names."""
 
 from __future__ import annotations
 
@@ -15,38 +15,43 @@
 from eiderhub.settings import parse_settings
 from eiderhub.sidecar.resource_limits import ResourceLimits
 
-DEFAULT_SOCKETS, DEFAULT_MEMORY_MB = 1024, 192  # where the configuration states no limit
+DEFAULT_SOCKETS, DEFAULT_MEMORY_MB = 1024, 192  # if the configuration contains no limits
 
 
 class ConfigError(Exception):
-    """A configuration that no sidecar can start from, worded for those on call."""
+    """A configuration that no sidecar can start from. The text is for the operators on call."""
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
+    """A host name or IP address and a TCP port."""
+
     host: str
     port: int
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """All settings of one sidecar."""
+
     name: str
     listen: Address
-    discovery: Address | None  # None: the known list is all there is
+    discovery: Address | None  # None: only the known list is used
     seed: int
     bounds: ResourceLimits
     known: EndpointList
     settings: Settings
-    plan: Plan | None = None  # routes; None: the first part of the path is the class
-    consul: Any = None  # the options of Consul as a source of endpoints, where the operator's file asks for it
-    thrift: Any = None  # the options of a port for Thrift, where the operator's file asks for one
-    fleet: Any = None  # the options of a view of the fleet, where the operator's file asks for one
+    plan: Plan | None = None  # routes; None: the first segment of the path names the class
+    consul: Any = None  # options of Consul as a source of endpoints, if the operator's file configures it
+    thrift: Any = None  # options of the Thrift port, if the operator's file configures it
+    fleet: Any = None  # options of the fleet's membership, if the operator's file configures it
 
 
 def parse_address(text: object, key: str) -> Address:
+    """Parse "host:port". Raises `ConfigError`, which names `key`."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not (port.isascii() and port.isdigit()) or int(port) > 65535:
-        raise ConfigError(f"{key}: no address:port: {text!r}")
+        raise ConfigError(f"{key}: not of the form address:port: {text!r}")
     return Address(host, int(port))
 
 
@@ -54,7 +59,7 @@
     try:
         return int(str(value), 16)
     except ValueError:
-        raise ConfigError(f"seed: no hexadecimal number: {value!r}") from None
+        raise ConfigError(f"seed: not a hexadecimal number: {value!r}") from None
 
 
 def _document(path: str) -> Any:
@@ -63,14 +68,14 @@
     except OSError as error:
         raise ConfigError(f"GW_CONFIG: {path}: {error.strerror}") from None
     except (ValueError, RecursionError):
-        raise ConfigError(f"GW_CONFIG: {path}: no JSON") from None
+        raise ConfigError(f"GW_CONFIG: {path}: not valid JSON") from None
 
 
 def _limit(document: dict[str, Any], key: str, default: int) -> float:
     limits = document.get("limits")
     value = limits.get(key, default) if isinstance(limits, dict) else default
     if isinstance(value, bool) or not isinstance(value, int | float) or not value >= 1:
-        raise ConfigError(f"limits.{key}: impossible value {value!r}")
+        raise ConfigError(f"limits.{key}: must be a number of at least 1, not {value!r}")
     return float(value)
 
 
@@ -81,7 +86,7 @@
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """Read the configuration that the environment names, as the platform gives it. Raises `ConfigError`."""
+    """Load the platform's configuration file that the environment names. Raises `ConfigError`."""
     path = environ.get("GW_CONFIG")
     if not path:
         raise ConfigError("GW_CONFIG: missing")
@@ -89,12 +94,12 @@
 
 
 def config_from(document: Any, environ: Mapping[str, str], has_other_source: bool = False) -> Config:
-    """A configuration from the decoded file; `elsewhere`: endpoints may come from another source alone.
+    """Return the configuration from the decoded file. Raises `ConfigError`.
 
-    Raises `ConfigError`.
+    With `has_other_source`, endpoints may come from another source only, so that discovery may be missing.
 
-    The variables stand above what the file says of the same, but for discovery: the file may be replaced
-    while the process runs, the environment can't.
+    Environment variables take precedence over the file, except for discovery: the file can be replaced while the
+    process runs, and the environment cannot.
     """
     if not isinstance(document, dict):
         raise ConfigError("GW_CONFIG: must be an object")
@@ -111,7 +116,7 @@
         listen=parse_address(environ.get("GW_LISTEN") or document.get("listen"), "GW_LISTEN"),
         discovery=_discovery(
             document.get("discovery") or environ.get("GW_DISCOVERY"),
-            has_other_source or bool(known.entries),  # a fixed list of endpoints
+            has_other_source or bool(known.entries),  # a non-empty known list serves as a fixed list
         ),
         seed=_seed(document.get("seed")),
         bounds=ResourceLimits.divide(
@@ -123,7 +128,10 @@
 
 
 def needs_restart(old: Config, new: Config) -> list[str]:
-    """What a running sidecar can't take up: only discovery, the routes and their pools may change while it runs."""
+    """Return the keys whose changes a running sidecar can't apply.
+
+    Only discovery, the routes and their pools may change while a sidecar runs.
+    """
     changed = [
         key
         for key in ("name", "listen", "bounds", "thrift", "consul", "fleet")
--- a/eiderhub/sidecar/discovery.py
+++ b/eiderhub/sidecar/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: lists of endpoints, and the watch on their changes."""
+"""The client of the discovery service: fetches endpoint lists and watches for their changes."""
 
 from __future__ import annotations
 
@@ -14,14 +14,17 @@
 from eiderhub.membership.watch_suspicion import WatchSuspicion
 from eiderhub.sidecar.clock import now_us
 
-MAX_LIST_BYTES = 2 << 20  # bytes of a list: some 200 for each endpoint
+MAX_LIST_BYTES = 2 << 20  # an endpoint takes about 200 bytes
 log = logging.getLogger(__name__)
 
 
 class Watcher:
-    """Keeps one watch open while it is on. Where lists are asked for, one that fails ends, and the module decides when
-    to ask again; one that falls silent is opened anew first, for there is no time to ask it. One that is doubted is
-    asked beside: it stays as it is unless it has missed something."""
+    """Keeps one watch open while it is active, and delivers the lists that it receives.
+
+    With polled discovery, a watch that fails ends, and the decision module decides when to start it again. A watch
+    that times out is first reopened here, because a poll by the module would come too late. If a watch is under
+    suspicion, the list is fetched on a separate connection; the watch is kept unless it has missed a version.
+    """
 
     def __init__(
         self,
@@ -40,9 +43,10 @@
         self.suspicion = suspicion
         self._task: asyncio.Task[None] | None = None
         self._client = ListClient(MAX_LIST_BYTES)
-        self._recheck_task: asyncio.Task[None] | None = None  # the question of a doubt
+        self._recheck_task: asyncio.Task[None] | None = None  # fetches the list on a separate connection
 
     def set_active(self, active: bool) -> None:
+        """Start the watch, or end it."""
         if active and self._task is None:
             self._task = asyncio.get_running_loop().create_task(self._run())
         elif not active:
@@ -53,10 +57,10 @@
         if self._task is not None:
             self._task.cancel()
             self._task = None
-            self._client.close_connection()  # its answer would come in for the next watch
+            self._client.close_connection()  # its answer would be taken for the next watch's
 
     def on_connection_refused(self, endpoint: str) -> None:
-        """A listed endpoint has refused a connection."""
+        """Note that a listed endpoint has refused a connection, which may put the watch under suspicion."""
         suspicion = self.suspicion
         if suspicion is None or self._task is None or self._recheck_task is not None or self.schedule.needs_full_list:
             return
@@ -71,13 +75,16 @@
             self._recheck_task = None
 
     async def _recheck(self, suspicion: WatchSuspicion) -> None:
-        """Wait for our turn, then ask on a connection of its own: a watch that is sound must not be lost for it."""
+        """Wait for this instance's offset, then fetch the list on a separate connection.
+
+        A watch that works must not be lost for this.
+        """
         await asyncio.sleep(suspicion.delay_us / 1e6)
         client, endpoint_list = ListClient(MAX_LIST_BYTES), None
         try:
             endpoint_list = await self._fetch(client, PollRequest(False, 0, RECHECK_TIMEOUT_S))
-        except Exception as error:  # the watch goes on, and knows by itself when it has failed
-            log.warning("discovery, asked in doubt: %s: %s", type(error).__name__, error)
+        except Exception as error:  # the watch continues and detects its own failures
+            log.warning("discovery: checking a suspected watch failed: %s: %s", type(error).__name__, error)
         finally:
             client.close_connection()
         is_newer = endpoint_list is not None and endpoint_list.generation > self.generation
@@ -88,16 +95,16 @@
             self._stop()
             try:
                 self._apply(endpoint_list)
-            except Exception as error:  # the new watch asks for it again
+            except Exception as error:  # the new watch fetches it again
                 log.warning("discovery: %s: %s", type(error).__name__, error)
             self.set_active(True)
 
     def change_address(self, host: str, port: int) -> None:
-        """Watch at another address; the last list stays in use until that has told all of its own.
+        """Watch another address; the last list stays in use until the new address has sent its full list.
 
-        What it tells first must be the whole list: its versions need not be those of the last address.
+        The first list must be a full one, because the versions of two addresses are unrelated.
         """
-        log.info("discovery moves to %s:%d", host, port)
+        log.info("discovery: the address changes to %s:%d", host, port)
         self.set_active(False)
         self.host, self.port = host, port
         self.schedule = self.schedule.for_new_address()
@@ -107,7 +114,7 @@
         while True:
             try:
                 self._apply(await self._poll())
-            except Exception as error:  # whatever it is, the list must not stay as it is for good
+            except Exception as error:  # after any error the watch goes on, or the list would stay out of date
                 log.warning("discovery: %s: %s", type(error).__name__, error)
                 self._client.close_connection()
                 pause_s = self.schedule.failed(isinstance(error, TimeoutError))
@@ -118,13 +125,13 @@
                 await asyncio.sleep(pause_s)
 
     def _apply(self, endpoint_list: EndpointList) -> None:
-        # The watch has spoken: no doubt is left. Nor may changes that were asked for before come in once the whole
-        # list is owed: they would be taken for it.
+        # The watch has answered, so the suspicion is cleared. This also cancels a fetch of changes, whose answer would
+        # be mistaken for the full list if that is needed from now on.
         self._clear_suspicion()
         is_full = endpoint_list.is_full or self.schedule.needs_full_list
         if not is_full and endpoint_list.generation < self.generation:
-            # Changes since a version that is not ours: what happened in between is told by the whole list alone.
-            log.warning("discovery: version %d after %d", endpoint_list.generation, self.generation)
+            # The changes start from an unknown version: only the full list contains what happened in between.
+            log.warning("discovery: received version %d after version %d", endpoint_list.generation, self.generation)
             self.schedule.needs_full_list = True
             return
         self.deliver(ListForm.FULL if is_full else ListForm.DELTA, endpoint_list.entries)
--- a/eiderhub/sidecar/options.py
+++ b/eiderhub/sidecar/options.py
@@ -1,4 +1,4 @@
-"""The operator's tables that the sidecar itself owns."""
+"""The tables of the operator's file that the sidecar package defines."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
             Key(
                 "rate",
                 Number(0, 1e6, "requests a second"),
-                "requests a second expected at this sidecar; the checker holds the descriptors against it",
+                "requests a second expected at this sidecar; the checker compares the descriptors with it",
                 None,
             ),
         )
@@ -30,13 +30,14 @@
 
 
 def check(pair: Pair) -> None:
+    """Report findings on the listen address and on the descriptors for the expected rate."""
     limits: dict[str, Any] = pair.tables.get("limits", {})
     spot = pair.operator / "limits"
     if limits.get("listen") == LOOPBACK:
         _check_listen(pair.document.get("listen"), pair.sidecar / "listen")
     if limits.get("rate"):
-        aims = [row["AimUs"] for row in pair.categories if "AimUs" in row]
-        _check_rate(pair.document.get("limits") or {}, aims, limits["rate"], spot / "rate")
+        objectives_us = [row["AimUs"] for row in pair.categories if "AimUs" in row]
+        _check_rate(pair.document.get("limits") or {}, objectives_us, limits["rate"], spot / "rate")
 
 
 def _check_listen(listen: str | None, spot: Spot) -> None:
@@ -46,25 +47,28 @@
     if host != "localhost" and not ip_address(host).is_loopback:
         spot.error(
             "listen",
-            f"{listen} is no loopback address, and limits.listen asks for one",
+            f"{listen} is not a loopback address, and limits.listen requires one",
             "Other machines could reach the sidecar",
             'Listen on 127.0.0.1, or write limits.listen = "any"',
         )
 
 
-def _check_rate(limits: dict[str, Any], aims_us: list[int], rate: float, spot: Spot) -> None:
-    """Whether the descriptors carry the expected rate, each request open for its wanted time at the worst."""
+def _check_rate(limits: dict[str, Any], objectives_us: list[int], rate: float, spot: Spot) -> None:
+    """Report a finding if the descriptors do not suffice for the expected rate.
+
+    Each request is assumed to be open for the longest latency objective.
+    """
     sockets = limits.get("sockets", 1024)
-    if not aims_us or sockets < MIN_SOCKETS:
+    if not objectives_us or sockets < MIN_SOCKETS:
         return
     bounds = ResourceLimits.divide(sockets, limits.get("memory_mb", 192.0))
-    most = min(bounds.caller_connections, bounds.endpoint_connections)
-    needed = math.ceil(rate * max(aims_us) / 1e6)
-    if needed > most:
+    max_connections = min(bounds.caller_connections, bounds.endpoint_connections)
+    needed = math.ceil(rate * max(objectives_us) / 1e6)
+    if needed > max_connections:
         spot.error(
             "descriptors",
-            f"{rate:g} requests a second, open for up to {show_duration(max(aims_us))}, need {needed} connections on "
-            f"each side; {sockets} descriptors leave {most}",
-            "Callers would be cut off at the expected rate",
+            f"{rate:g} requests a second, open for up to {show_duration(max(objectives_us))}, need {needed} "
+            f"connections on each side; {sockets} descriptors allow {max_connections}",
+            "Callers would be disconnected at the expected rate",
             "Allow more descriptors, or run more sidecars",
         )
