--- a/tests/membership/test_client.py
+++ b/tests/membership/test_client.py
@@ -353,7 +353,7 @@
             (fake,) = world.endpoints
             critical = read_health(json.dumps([instance("web", fake.address, "critical")]).encode(), Meaning())
             telling = asyncio.create_task(world.source.told("web", critical.entries))
-            assert await caller.all.get() == 503
+            assert await caller.statuses.get() == 503
             await telling
             assert fake.received.empty()
 
--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -1,4 +1,4 @@
-"""A sidecar in this process on loopback sockets; tests drive its fake endpoints and discovery."""
+"""Runs a sidecar in the test process on loopback sockets, with fake endpoints and discovery that the test controls."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 from standins.discovery import listing, row
 from standins.http import Message, answer, leave, read_message
 
-__all__ = ["Message", "leave", "listing", "row"]  # what the tests take from the stand-ins, and this module uses itself
+__all__ = ["Message", "leave", "listing", "row"]  # re-exported from the stand-ins for the tests
 
-PATIENCE_S = 10.0  # a test that waits longer for an event has failed
+TEST_TIMEOUT_S = 10.0  # a test that runs longer has failed
 
 SETUP: dict[str, Any] = {
     "Categories": [
@@ -76,10 +76,10 @@
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
-    """Run a test on the loop that the sidecar has in service."""
+    """Run a test on the event loop that the sidecar uses in production."""
 
     async def bounded() -> None:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await test
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -87,12 +87,12 @@
 
 
 class ReceivedRequest:
-    """A request as an endpoint or discovery got it; the test says what comes back."""
+    """A request that an endpoint or discovery has received; the test sends the answer."""
 
     def __init__(self, message: Message, writer: asyncio.StreamWriter, connection: int) -> None:
         self.message = message
         self.writer = writer
-        self.connection = connection  # which of the server's connections it came on
+        self.connection = connection  # the number of the server's connection that it was received on
 
     def reply(self, status: int = 200, body: bytes = b"done", *headers: str) -> None:
         self.writer.write(answer(status, body, *headers))
@@ -102,13 +102,13 @@
 
 
 class FakeServer:
-    """A server whose every request waits for the test's word."""
+    """A server that answers each request only when the test does."""
 
     def __init__(self) -> None:
         self.received: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
         self.connections = 0
         self.writers: list[asyncio.StreamWriter] = []
-        self.ends: asyncio.Queue[int] = asyncio.Queue()  # connections that the other side ended
+        self.ends: asyncio.Queue[int] = asyncio.Queue()  # numbers of connections that the other side has closed
 
     async def start(self) -> FakeServer:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -132,54 +132,54 @@
 
 
 class Client:
-    """A caller's connection."""
+    """One connection of a caller."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self.writer = writer
-        self.serial = 0
+        self.request_count = 0
 
     def send(
         self,
-        grade: str = "pay",
+        class_name: str = "pay",
         deadline_ms: int = 2500,
         body: bytes = b"x",
         request_id: str = "",
         **changes: str,
     ) -> None:
-        self.serial += 1
+        self.request_count += 1
         headers = {
             "Host": "service.internal",
-            "Req-Id": request_id or f"{id(self):x}{self.serial:04x}",
+            "Req-Id": request_id or f"{id(self):x}{self.request_count:04x}",
             "Req-Owner": "acme",
             "Req-Deadline-Ms": str(deadline_ms),
         }
-        if grade == "hold":
+        if class_name == "hold":
             headers["Idempotency-Key"] = "k1"
-        if grade != "look":
+        if class_name != "look":
             headers["Content-Length"] = str(len(body))
         headers.update({name.replace("_", "-"): value for name, value in changes.items()})
-        lines = [f"{'GET' if grade == 'look' else 'POST'} /{grade}/a?b=1 HTTP/1.1"]
+        lines = [f"{'GET' if class_name == 'look' else 'POST'} /{class_name}/a?b=1 HTTP/1.1"]
         lines += [f"{name}: {value}" for name, value in headers.items() if value]
-        self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + (body if grade != "look" else b""))
+        self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + (body if class_name != "look" else b""))
 
     async def answer(self) -> Message:
         return await read_message(self.reader)
 
-    async def request(self, grade: str = "pay", **values: Any) -> Message:
-        self.send(grade, **values)
+    async def request(self, class_name: str = "pay", **values: Any) -> Message:
+        self.send(class_name, **values)
         return await self.answer()
 
 
 class Sidecar:
-    """Host and server, on port 0, with fakes behind them."""
+    """The host and its servers, on port 0, with fake endpoints and discovery."""
 
     def __init__(
         self,
         endpoints: int = 1,
         callers: int = 500,
         upstream: int = 400,
-        held: int = 1 << 24,
+        buffered_bytes: int = 1 << 24,
         plan: Plan | None = None,
         thrift: Options | None = None,
         fake: Callable[[], FakeServer] | None = None,
@@ -189,14 +189,14 @@
         self.plan = plan
         self.thrift = thrift
         self.fake = fake or FakeServer
-        self.count = endpoints
-        self.consul = Consul() if consul else None  # the only source of endpoints, then
-        self.bounds = ResourceLimits(callers, upstream, held)
+        self.endpoint_count = endpoints
+        self.consul = Consul() if consul else None  # the only source of endpoints if it is set
+        self.bounds = ResourceLimits(callers, upstream, buffered_bytes)
         self.setup = {**SETUP, **settings}
 
     async def __aenter__(self) -> Sidecar:
         self.discovery = await FakeServer().start()
-        self.endpoints = [await self.fake().start() for _ in range(self.count)]
+        self.endpoints = [await self.fake().start() for _ in range(self.endpoint_count)]
         rows = [row(f"s-{i}", fake.address) for i, fake in enumerate(self.endpoints)]
         host, _, port = self.discovery.address.rpartition(":")
         self.config = Config(
@@ -210,10 +210,10 @@
             plan=self.plan,
         )
         self.host = Host(self.config)
-        self.sweep = asyncio.create_task(self.host.upstream.sweep())
+        self.sweep_task = asyncio.create_task(self.host.upstream.sweep())
         self.callers = Callers(self.bounds.caller_connections, self.host.max_deadline_s, self.host.budget)
         self.server = Server(self.host, self.callers)
-        self.watch = asyncio.create_task(self.callers.watch_timeouts())
+        self.timeout_task = asyncio.create_task(self.callers.watch_timeouts())
         await self.server.bind("127.0.0.1", 0)
         if self.thrift is not None:
             thrift = thrift_server.Server(self.host, self.callers, self.thrift)
@@ -223,8 +223,8 @@
         if self.consul is not None:
             await self.consul.start()
             self.consul.set("web", *[instance("web", fake.address) for fake in self.endpoints])
-            at, _, number = self.consul.address.rpartition(":")
-            source = add_consul_source(ConsulOptions(((at, int(number)),), ("web",)), self.host)
+            consul_host, _, consul_port = self.consul.address.rpartition(":")
+            source = add_consul_source(ConsulOptions(((consul_host, int(consul_port)),), ("web",)), self.host)
         self.host.start()
         if source is not None:
             source.start()
@@ -238,7 +238,7 @@
         return self
 
     async def wait_for_consul(self) -> None:
-        """Until all that Consul says now has been read."""
+        """Wait until the sidecar has read Consul's current state."""
         assert self.consul is not None
         while not self.consul.requests or f"index={self.consul.index}&" not in self.consul.requests[-1]:
             await asyncio.sleep(0.002)
@@ -248,8 +248,8 @@
             self.source.stop()
             self.consul.stop()
         self.host.tail(False)
-        self.sweep.cancel()
-        self.watch.cancel()
+        self.sweep_task.cancel()
+        self.timeout_task.cancel()
         self.server.listener.close()
         if self.thrift is not None:
             self.thrift_listener.close()
@@ -265,42 +265,42 @@
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
     async def next(self) -> ReceivedRequest:
-        """The next request that any endpoint gets."""
+        """Return the next request that any endpoint receives."""
         return await next_request(self)
 
 
-def start_process(tmp_path: Path, changes: dict[str, Any], *words: str, **variables: str) -> subprocess.Popen[str]:
-    """The program as a process of its own, told by a file in `tmp_path` and by these variables."""
+def start_process(tmp_path: Path, changes: dict[str, Any], *arguments: str, **variables: str) -> subprocess.Popen[str]:
+    """Start the sidecar as a separate process, configured by a file in `tmp_path` and these environment variables."""
     document = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f", **changes}
     path = tmp_path / "config.json"
     path.write_text(json.dumps(document), encoding="utf-8")
     environ = {k: v for k, v in os.environ.items() if not k.startswith("GW_")}
     return subprocess.Popen(
-        [sys.executable, "-m", "eiderhub.sidecar", *words],
+        [sys.executable, "-m", "eiderhub.sidecar", *arguments],
         env={**environ, "GW_CONFIG": str(path), **variables},
         stderr=subprocess.PIPE,
         text=True,
     )
 
 
-async def one_attempt(sidecar: Sidecar, grade: str = "pay") -> tuple[ReceivedRequest, Client]:
-    """Send one request and return the endpoint's side of it, wherever it went, and the client."""
+async def one_attempt(sidecar: Sidecar, class_name: str = "pay") -> tuple[ReceivedRequest, Client]:
+    """Send one request; return it as received by whichever endpoint got it, and the client."""
     client = await sidecar.client()
-    client.send(grade)
+    client.send(class_name)
     return await next_request(sidecar), client
 
 
 async def next_request(sidecar: Sidecar) -> ReceivedRequest:
-    """The next request that any endpoint gets."""
-    waits = [asyncio.create_task(fake.next()) for fake in sidecar.endpoints]
-    done, pending = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+    """Return the next request that any endpoint receives."""
+    tasks = [asyncio.create_task(fake.next()) for fake in sidecar.endpoints]
+    finished, pending = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     for task in pending:
         task.cancel()
-    return done.pop().result()
+    return finished.pop().result()
 
 
 async def assert_all_go_to(endpoint: FakeServer, client: Client, calls: int = 6) -> None:
-    """Serve so many calls, each of which this endpoint has to get."""
+    """Send and answer `calls` requests; each must arrive at this endpoint."""
     for _ in range(calls):
         client.send()
         (await endpoint.next()).reply()
@@ -308,12 +308,13 @@
 
 
 async def readiness_status(client: Client) -> int:
+    """Return the status of GET /up: 200 if the sidecar is ready for callers."""
     client.writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
     return (await client.answer()).status
 
 
 class Program:
-    """The program in service as a process of its own, with one fake endpoint."""
+    """A sidecar that runs as a separate process, with one fake endpoint."""
 
     def __init__(self, process: subprocess.Popen[str], endpoint: FakeServer, address: tuple[str, int]) -> None:
         self.process = process
@@ -324,7 +325,7 @@
         return Client(*await asyncio.open_connection(*self.address))
 
     async def line_with(self, text: str) -> str:
-        """Read its log up to a line with this text, which is returned."""
+        """Read the log up to the first line with this text and return that line."""
         assert self.process.stderr is not None
         while text not in (line := await asyncio.to_thread(self.process.stderr.readline)):
             assert line, "the log has ended"
@@ -332,7 +333,8 @@
 
 
 @contextlib.asynccontextmanager
-async def program(tmp_path: Path, changes: dict[str, Any], *words: str, **variables: str) -> AsyncIterator[Program]:
+async def program(tmp_path: Path, changes: dict[str, Any], *arguments: str, **variables: str) -> AsyncIterator[Program]:
+    """Start a sidecar process and wait until it serves; kill it in the end."""
     endpoint = await FakeServer().start()
     with socket.create_server(("127.0.0.1", 0)) as free:
         address = free.getsockname()
@@ -342,7 +344,7 @@
         "known": json.loads(listing(1, True, row("s-0", endpoint.address))),
         **changes,
     }
-    process = start_process(tmp_path, document, *words, **variables)
+    process = start_process(tmp_path, document, *arguments, **variables)
     try:
         running = Program(process, endpoint, address)
         await running.line_with("serves on")
--- a/tests/test_connection_races.py
+++ b/tests/test_connection_races.py
@@ -63,7 +63,7 @@
             sidecar.host.accept(direct_request(caller, "look"))
             await asyncio.sleep(0)  # the connection is on its way to the old address
             listed_at(sidecar, new.address)
-            assert await caller.all.get() == 503  # it never ran; the only endpoint has been tried
+            assert await caller.statuses.get() == 503  # it never ran; the only endpoint has been tried
             assert old.received.empty()
             assert await old.ends.get() == 0 and sidecar.host.upstream.open_connections == 0
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -132,9 +132,9 @@
             sidecar.host.accept(direct_request(waits))  # its connection is still to come up
             sidecar.host.close()
             assert (await sent.answer()).status == 504
-            assert await waits.all.get() == 503
+            assert await waits.statuses.get() == 503
             sidecar.host.accept(direct_request(late))
-            assert await late.all.get() == 503
+            assert await late.statuses.get() == 503
             assert sidecar.endpoints[0].received.empty()
             assert not sidecar.host.balancer.calls
 
