--- a/tests/test_connection_races.py
+++ b/tests/test_connection_races.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints at the instant in which something else ends: each crossing is forced, on real sockets."""
+"""Race conditions of connections to endpoints, each forced on real sockets."""
 
 from __future__ import annotations
 
@@ -20,60 +20,65 @@
 from tests.test_sidecar import RecordingCaller, direct_request
 
 
-def listed_at(sidecar: Sidecar, address: str, started_ms: int = 0) -> None:
-    """Discovery tells where the only endpoint is."""
-    told = read_endpoint_list(json.loads(listing(2, True, row("s-0", address, started_ms=started_ms))))
-    sidecar.host.on_list(ListForm.FULL, told.entries)
+def list_endpoint_at(sidecar: Sidecar, address: str, started_ms: int = 0) -> None:
+    """Deliver a full list with the only endpoint at this address."""
+    endpoint_list = read_endpoint_list(json.loads(listing(2, True, row("s-0", address, started_ms=started_ms))))
+    sidecar.host.on_list(ListForm.FULL, endpoint_list.entries)
 
 
 # --- an endpoint that moves or restarts ---
 
 
 @pytest.mark.parametrize("restarted", [False, True])
-def test_a_connection_to_the_old_place_is_not_used_again_when_its_answer_comes_after_the_move(restarted: bool) -> None:
-    """Seen by reading: it went back among the idle ones, and the next request went to the address that was left."""
+def test_a_connection_to_the_old_address_is_not_reused_after_the_endpoint_moves(restarted: bool) -> None:
+    """Prevents requests to the old address of an endpoint.
+
+    A connection whose answer arrived after the move was returned to the idle ones, and the next request used it.
+    """
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            old, new = sidecar.endpoints
-            listed_at(sidecar, old.address)
+            old_endpoint, new_endpoint = sidecar.endpoints
+            list_endpoint_at(sidecar, old_endpoint.address)
             client = await sidecar.client()
             client.send()
-            asked = await old.next()
-            listed_at(sidecar, old.address if restarted else new.address, started_ms=1_700_000_000_000)
-            asked.reply(200, b"old")
+            received = await old_endpoint.next()
+            list_endpoint_at(
+                sidecar, old_endpoint.address if restarted else new_endpoint.address, started_ms=1_700_000_000_000
+            )
+            received.reply(200, b"old")
             assert (await client.answer()).body == b"old"
             client.send()
-            asked = await next_request(sidecar)
-            assert (asked.connection, old.connections) == (1 if restarted else 0, 2 if restarted else 1)
-            assert new.connections == (0 if restarted else 1)
-            assert await old.ends.get() == 0
-            asked.reply(200, b"new")
+            received = await next_request(sidecar)
+            assert (received.connection, old_endpoint.connections) == (1 if restarted else 0, 2 if restarted else 1)
+            assert new_endpoint.connections == (0 if restarted else 1)
+            assert await old_endpoint.ends.get() == 0
+            received.reply(200, b"new")
             assert (await client.answer()).body == b"new"
 
     run(test())
 
 
-def test_a_connection_that_came_up_to_the_old_place_carries_nothing() -> None:
+def test_a_connection_established_to_the_old_address_carries_no_request() -> None:
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            old, new = sidecar.endpoints
+            old_endpoint, new_endpoint = sidecar.endpoints
             caller = RecordingCaller()
-            listed_at(sidecar, old.address)
+            list_endpoint_at(sidecar, old_endpoint.address)
             sidecar.host.accept(direct_request(caller, "look"))
-            await asyncio.sleep(0)  # the connection is on its way to the old address
-            listed_at(sidecar, new.address)
-            assert await caller.statuses.get() == 503  # it never ran; the only endpoint has been tried
-            assert old.received.empty()
-            assert await old.ends.get() == 0 and sidecar.host.upstream.open_connections == 0
+            await asyncio.sleep(0)  # the connection to the old address is being established
+            list_endpoint_at(sidecar, new_endpoint.address)
+            assert await caller.statuses.get() == 503  # refused: it never ran, and the only endpoint has been tried
+            assert old_endpoint.received.empty()
+            assert await old_endpoint.ends.get() == 0 and sidecar.host.upstream.open_connections == 0
 
     run(test())
 
 
-# --- a connection that comes up as something else happens ---
+# --- failures while a connection is established ---
 
 
-def attempt_to(upstream: Upstream, port: int) -> tuple[Attempt, asyncio.Queue[Outcome]]:
+def start_attempt_to(upstream: Upstream, port: int) -> tuple[Attempt, asyncio.Queue[Outcome]]:
     ended: asyncio.Queue[Outcome] = asyncio.Queue()
     upstream.set_endpoint("e", "127.0.0.1", port, 0)
     attempt = Attempt(0, "e", HTTP1, lambda _: b"x", lambda _, outcome, __: ended.put_nowait(outcome))
@@ -81,50 +86,55 @@
     return attempt, ended
 
 
-def test_an_address_that_is_none_fails_the_attempt_and_leaves_no_count_behind() -> None:
-    """Seen: an error other than OSError ended the task, and neither the attempt nor its place among the open ones."""
+def test_an_invalid_address_fails_the_attempt_and_releases_its_connection_slot() -> None:
+    """Prevents an attempt that never ends.
+
+    An error other than OSError ended the connecting task, but neither the attempt nor its count as an open connection.
+    """
 
     async def test() -> None:
         upstream = Upstream(0, 1_000_000, 4, ByteBudget(1 << 20))
-        _, ended = attempt_to(upstream, 70_000)
+        _, ended = start_attempt_to(upstream, 70_000)
         assert await ended.get() is Outcome.CONNECT_FAILED
         assert upstream.open_connections == 0
 
     run(test())
 
 
-@pytest.mark.parametrize("held", ["before it is seen", "when it is seen"])
-def test_a_connection_that_comes_up_in_the_turn_of_its_time_out(held: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Both events stand ready: the loop is held until the time is up, before or after it has seen the connection."""
+@pytest.mark.parametrize("loop_blocked", ["before the connection is seen", "while the connection is seen"])
+def test_a_connection_established_in_the_loop_iteration_of_its_timeout(
+    loop_blocked: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Both events are pending: the loop is blocked until the timeout, before or while it handles the connection."""
 
     async def test() -> None:
         fake = await FakeServer().start()
         upstream = Upstream(0, 50_000, 4, ByteBudget(1 << 20))
-        if held == "when it is seen":
-            made = Connection.connection_made
+        if loop_blocked == "while the connection is seen":
+            original = Connection.connection_made
 
-            def hold(self: Connection, transport: asyncio.BaseTransport) -> None:
-                made(self, transport)
+            def blocking_connection_made(self: Connection, transport: asyncio.BaseTransport) -> None:
+                original(self, transport)
                 time.sleep(0.06)
 
-            monkeypatch.setattr(Connection, "connection_made", hold)
-        attempt, ended = attempt_to(upstream, int(fake.address.rpartition(":")[2]))
-        if held == "before it is seen":
+            monkeypatch.setattr(Connection, "connection_made", blocking_connection_made)
+        attempt, ended = start_attempt_to(upstream, int(fake.address.rpartition(":")[2]))
+        if loop_blocked == "before the connection is seen":
             await asyncio.sleep(0)
             time.sleep(0.06)
         assert await ended.get() is Outcome.CONNECT_FAILED
-        assert await fake.ends.get() == 0  # the descriptor is gone too
+        assert await fake.ends.get() == 0  # its descriptor is closed too
         assert upstream.open_connections == 0 and not upstream.pools["e"].idle and not attempt.started
         fake.server.close()
 
     run(test())
 
 
-# --- an answer that comes twice ---
+# --- duplicate answers ---
 
 
-def test_a_late_second_answer_reaches_no_other_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Measured on the fleet's join day: second answers came 1.0 to 2.7 ms late, on connections then idle."""
+def test_a_late_duplicate_answer_reaches_no_other_request(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Duplicate answers have been measured 1.0 to 2.7 ms after the first, on connections that were idle by then."""
     monkeypatch.setattr(Connection, "reuse_delay_us", 60_000_000)
 
     async def test() -> None:
@@ -136,7 +146,7 @@
             assert (await client.answer()).body == b"first"
             client.send()
             second = await sidecar.endpoints[0].next()
-            first.reply(200, b"first")  # again, with the next request out
+            first.reply(200, b"first")  # a duplicate, while the next request is in flight
             assert await sidecar.endpoints[0].ends.get() == first.connection
             second.reply(200, b"second")
             assert (await client.answer()).body == b"second"
@@ -145,7 +155,7 @@
     run(test())
 
 
-def test_a_connection_is_used_again_once_it_has_rested(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_connection_is_reused_after_the_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Connection, "reuse_delay_us", SETTLE_US)
 
     async def test() -> None:
@@ -162,33 +172,33 @@
     run(test())
 
 
-def end_with(asked: ReceivedRequest, last: bytes, end: str) -> None:
-    """Write and end past the loop: both lie in the kernel before the sidecar's next turn."""
-    sock = asked.writer.transport.get_extra_info("socket")
-    with socket.socket(fileno=socket.dup(sock.fileno())) as same:
-        same.sendall(last)
+def write_and_end(received: ReceivedRequest, last: bytes, end: str) -> None:
+    """Write and close without the event loop: both are in the kernel before the sidecar's next loop iteration."""
+    sock = received.writer.transport.get_extra_info("socket")
+    with socket.socket(fileno=socket.dup(sock.fileno())) as duplicate_socket:
+        duplicate_socket.sendall(last)
         if end == "close":
-            same.shutdown(socket.SHUT_WR)
+            duplicate_socket.shutdown(socket.SHUT_WR)
         else:
-            same.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            duplicate_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     if end == "reset":
-        asked.reset()
+        received.reset()
 
 
 @pytest.mark.parametrize("end", ["close", "reset"])
-def test_an_answer_and_the_end_of_its_connection_in_one_turn(end: str) -> None:
-    """The answer counts, once; the connection takes no more requests, and an unsafe one goes out once."""
+def test_an_answer_and_the_end_of_its_connection_in_one_loop_iteration(end: str) -> None:
+    """The answer is delivered once, the connection is not reused, and an unsafe request is sent only once."""
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
             client = await sidecar.client()
             client.send()
-            asked = await next_request(sidecar)
-            end_with(asked, answer(200, b"whole"), end)
+            received = await next_request(sidecar)
+            write_and_end(received, answer(200, b"whole"), end)
             assert (await client.answer()).body == b"whole"
             client.send()
-            again = await next_request(sidecar)
-            again.reply(200, b"next")
+            next_received = await next_request(sidecar)
+            next_received.reply(200, b"next")
             assert (await client.answer()).body == b"next"
             assert sum(fake.received.qsize() for fake in sidecar.endpoints) == 0
             assert sidecar.host.upstream.open_connections == 1
@@ -196,33 +206,33 @@
     run(test())
 
 
-def test_an_answer_for_a_request_that_was_given_up_reaches_nobody() -> None:
+def test_an_answer_to_a_cancelled_request_is_discarded() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
-            gone = await sidecar.client()
-            gone.send()
-            asked = await sidecar.endpoints[0].next()
-            asked.reply(200, b"late")
-            gone.writer.close()
-            other = await sidecar.client()
-            other.send()
-            fresh = await sidecar.endpoints[0].next()
-            fresh.reply(200, b"own")
-            assert (await other.answer()).body == b"own"
+            departed = await sidecar.client()
+            departed.send()
+            received = await sidecar.endpoints[0].next()
+            received.reply(200, b"late")
+            departed.writer.close()
+            other_client = await sidecar.client()
+            other_client.send()
+            next_received = await sidecar.endpoints[0].next()
+            next_received.reply(200, b"own")
+            assert (await other_client.answer()).body == b"own"
 
     run(test())
 
 
-def test_an_answer_that_drips_without_end_is_given_up_with_its_time() -> None:
+def test_an_answer_that_trickles_without_end_times_out() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send(deadline_ms=400)
-            asked = await sidecar.endpoints[0].next()
-            asked.writer.write(answer(200, b"x" * 1000)[:-900])
+            received = await sidecar.endpoints[0].next()
+            received.writer.write(answer(200, b"x" * 1000)[:-900])
             ended = asyncio.create_task(sidecar.endpoints[0].ends.get())
             while not ended.done():
-                asked.writer.write(b"x")
+                received.writer.write(b"x")
                 await asyncio.sleep(0.02)
             assert (await client.answer()).status == 504
             assert sidecar.host.upstream.open_connections == 0 and not sidecar.host.requests
@@ -230,37 +240,37 @@
     run(test())
 
 
-# --- time ---
+# --- timeouts ---
 
 
-@pytest.mark.parametrize("first", ["answer", "alarm"])
-def test_an_answer_and_the_alarm_in_the_same_turn_are_one_answer(first: str) -> None:
-    """Both in one turn, in both orders: the alarm rings with the answer in the kernel, and after it was read."""
+@pytest.mark.parametrize("first", ["answer", "timer"])
+def test_an_answer_and_the_timeout_in_one_loop_iteration_give_one_answer(first: str) -> None:
+    """Both orders are tested: the timer fires while the answer is still in the kernel, and after it was read."""
 
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send()
-            asked = await sidecar.endpoints[0].next()
+            received = await sidecar.endpoints[0].next()
             (request,) = sidecar.host.requests.values()
-            asked.reply()
+            received.reply()
             while first == "answer" and not request.answered:
                 await asyncio.sleep(0)
             sidecar.host._on_deadline(request)
             assert (await client.answer()).status in ((200,) if first == "answer" else (502, 504))
-            await nothing_more(client)
+            await assert_no_further_answer(client)
             assert not sidecar.host.requests and not sidecar.host.balancer.calls
 
     run(test())
 
 
-async def nothing_more(client: Client) -> None:
-    """Until a later answer has come on the same connection, so that no second one stands before it."""
+async def assert_no_further_answer(client: Client) -> None:
+    """Check that the next answer on the connection is that of a later request, and no second one before it."""
     client.writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
     assert (await client.answer()).body == b""
 
 
-def test_a_loop_that_is_held_up_before_many_deadlines_still_gives_each_one_answer() -> None:
+def test_a_loop_blocked_before_many_deadlines_still_gives_each_request_one_answer() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             clients = [await sidecar.client() for _ in range(20)]
@@ -270,7 +280,7 @@
             time.sleep(0.3)
             for client in clients:
                 assert (await client.answer()).status in (503, 504)
-                await nothing_more(client)
+                await assert_no_further_answer(client)
             assert not sidecar.host.requests and not sidecar.host.balancer.calls
 
     run(test())
