--- a/tests/test_caller_disconnects.py
+++ b/tests/test_caller_disconnects.py
@@ -1,4 +1,4 @@
-"""A caller that leaves while its request waits: nothing of it is sent on. Each crossing is forced."""
+"""Callers that disconnect before their request is answered: nothing more is forwarded. Each race is forced."""
 
 from __future__ import annotations
 
@@ -13,22 +13,25 @@
 from tests.sidecar_support import SETUP, Client, FakeServer, Sidecar, leave, next_request, run
 from tests.test_sidecar import RecordingCaller, direct_request
 
-LIMIT_S = 0.3  # the users' term, from the end that the caller made to the last byte sent on for it
+MAX_FORWARD_DELAY_S = 0.3  # required by the users: from the caller's disconnect to the last byte forwarded for it
 
 
-async def called_off(fake: FakeServer) -> None:
-    """Until the attempt that is out has been given up, which is how an endpoint hears of it."""
+async def attempt_cancelled(fake: FakeServer) -> None:
+    """Wait until the sidecar has cancelled an attempt by closing its connection to the endpoint."""
     await fake.ends.get()
 
 
-def test_callers_that_are_not_read_are_looked_at_well_within_the_term() -> None:
-    assert 2 * CHECK_INTERVAL_S < LIMIT_S
+def test_paused_connections_are_checked_well_within_the_limit() -> None:
+    assert 2 * CHECK_INTERVAL_S < MAX_FORWARD_DELAY_S
 
 
-@pytest.mark.parametrize("behind", [1, MAX_BEHIND], ids=["one behind it", "more behind it than is read"])
+@pytest.mark.parametrize("behind", [1, MAX_BEHIND], ids=["one pipelined", "more pipelined than is read"])
 @pytest.mark.parametrize("how", ["close", "half close", "reset"])
-def test_requests_behind_another_are_not_sent_on_for_a_caller_that_has_left(how: str, behind: int) -> None:
-    """Seen: with requests in waiting nothing was read, so the end was not heard before all of them had been served."""
+def test_pipelined_requests_of_a_disconnected_caller_are_not_forwarded(how: str, behind: int) -> None:
+    """Prevents a late detection of the disconnect.
+
+    While requests were waiting the socket was not read, so the disconnect was detected only after all had been served.
+    """
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -38,12 +41,12 @@
             client.send(body=b"1")
             client.send(body=b"2")
             await client.writer.drain()
-            for _ in range(3 if behind > 1 else 0):  # the last of them fill what is read ahead
+            for _ in range(3 if behind > 1 else 0):  # the last of them fill the read-ahead buffer
                 await asyncio.sleep(0)
                 client.send(body=b"x" * (MAX_BEHIND // 2))
                 await client.writer.drain()
             leave(client.writer, how)
-            await called_off(sidecar.endpoints[0])
+            await attempt_cancelled(sidecar.endpoints[0])
             assert not sidecar.host.requests and not sidecar.host.balancer.calls
             assert not sidecar.callers.open_request_ids
             assert sidecar.host.budget.used == 0
@@ -52,27 +55,27 @@
     run(test())
 
 
-def test_a_burst_that_is_sent_at_once_and_gone_leaves_nothing_behind() -> None:
+def test_a_burst_of_callers_that_disconnect_at_once_leaves_no_state() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             clients = [await sidecar.client() for _ in range(12)]
-            for client in clients:  # all that these do is in the kernel before the sidecar's next turn
+            for client in clients:  # all of this is in the kernel before the sidecar's next loop iteration
                 for _ in range(3):
                     client.send()
                 client.writer.close()
-            other = await sidecar.client()
-            other.send(body=b"other")
-            while (asked := await sidecar.endpoints[0].next()).message.body != b"other":
+            other_client = await sidecar.client()
+            other_client.send(body=b"other")
+            while (received := await sidecar.endpoints[0].next()).message.body != b"other":
                 pass
-            asked.reply()
-            assert (await other.answer()).status == 200
+            received.reply()
+            assert (await other_client.answer()).status == 200
             while sidecar.host.requests:
                 await asyncio.sleep(0)
-            sent = sidecar.endpoints[0].received.qsize()
+            forwarded_count = sidecar.endpoints[0].received.qsize()
             assert not sidecar.host.balancer.calls and not sidecar.host.balancer.queue.count
-            client = await sidecar.client()  # the room that those took is there again
+            client = await sidecar.client()  # the capacity that those used is free again
             client.send()
-            for _ in range(sent):
+            for _ in range(forwarded_count):
                 await sidecar.endpoints[0].next()
             (await sidecar.endpoints[0].next()).reply()
             assert (await client.answer()).status == 200
@@ -80,42 +83,42 @@
     run(test())
 
 
-def test_a_caller_that_leaves_the_modules_queue_is_not_sent_on_when_there_is_room() -> None:
+def test_a_queued_request_of_a_disconnected_caller_is_not_forwarded_later() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             fake = sidecar.endpoints[0]
             clients = [await sidecar.client() for _ in range(30)]
             for client in clients:
                 client.send("pay", deadline_ms=30_000)
-            out = [await fake.next()]
-            while sidecar.host.balancer.queue.count == 0 or fake.received.qsize() + len(out) < sum(
+            attempts_in_flight = [await fake.next()]
+            while sidecar.host.balancer.queue.count == 0 or fake.received.qsize() + len(attempts_in_flight) < sum(
                 request.pending_attempts for request in sidecar.host.requests.values()
             ):
                 await asyncio.sleep(0)
             while not fake.received.empty():
-                out.append(await fake.next())
-            held = [r for r in sidecar.host.requests.values() if not r.pending_attempts]
-            assert held
-            waiting = {r.caller.transport.get_extra_info("peername") for r in held}  # type: ignore[attr-defined]
+                attempts_in_flight.append(await fake.next())
+            queued = [r for r in sidecar.host.requests.values() if not r.pending_attempts]
+            assert queued
+            queued_peers = {r.caller.transport.get_extra_info("peername") for r in queued}  # type: ignore[attr-defined]
             for client in clients:
-                if client.writer.get_extra_info("sockname") in waiting:
+                if client.writer.get_extra_info("sockname") in queued_peers:
                     client.writer.close()
-            while any(r in sidecar.host.requests.values() for r in held):
+            while any(r in sidecar.host.requests.values() for r in queued):
                 await asyncio.sleep(0)
             assert sidecar.host.balancer.queue.count == 0
-            for asked in out:
-                asked.reply()
-            other = await sidecar.client()
-            other.send(body=b"other")
-            asked = await fake.next()
-            assert asked.message.body == b"other"  # and none of those that have left before it
-            asked.reply()
-            assert (await other.answer()).status == 200
+            for received in attempts_in_flight:
+                received.reply()
+            other_client = await sidecar.client()
+            other_client.send(body=b"other")
+            received = await fake.next()
+            assert received.message.body == b"other"  # no request of a disconnected caller came before it
+            received.reply()
+            assert (await other_client.answer()).status == 200
 
     run(test())
 
 
-def test_a_caller_that_leaves_while_a_connection_comes_up_is_not_sent_on() -> None:
+def test_a_disconnect_during_connecting_prevents_the_attempt() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             request = direct_request(RecordingCaller())
@@ -124,9 +127,9 @@
             sidecar.host.cancel_request(request)
             client = await sidecar.client()
             client.send(body=b"next")
-            asked = await sidecar.endpoints[0].next()
-            assert asked.message.body == b"next"
-            asked.reply()
+            received = await sidecar.endpoints[0].next()
+            assert received.message.body == b"next"
+            received.reply()
             assert (await client.answer()).status == 200
             assert not sidecar.host.requests and not sidecar.host.balancer.calls
 
@@ -134,35 +137,38 @@
 
 
 @pytest.mark.parametrize("first", ["answer", "end"])
-def test_a_caller_that_leaves_in_the_turn_of_a_retry_is_sent_on_no_more(first: str) -> None:
-    """An endpoint's failure, which is tried again, and the caller's end stand ready in one turn, in both orders."""
+def test_a_disconnect_in_the_loop_iteration_of_a_retry_prevents_further_attempts(first: str) -> None:
+    """A failed attempt, which is retried, and the disconnect are handled in one loop iteration, in both orders."""
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
             request = direct_request(RecordingCaller(), "look")
             sidecar.host.accept(request)
-            asked = await next_request(sidecar)
+            received = await next_request(sidecar)
             (attempt,) = request.attempts
             if first == "end":
                 sidecar.host.cancel_request(request)
                 attempt.abort(Outcome.RESET)
             else:
-                attempt.abort(Outcome.RESET)  # the module sends another at once; its connection is still to come up
+                attempt.abort(Outcome.RESET)  # retried at once; the connection is still being established
                 assert len(request.attempts) == 2
                 sidecar.host.cancel_request(request)
             client = await sidecar.client()
             client.send("pay", body=b"next")
-            asked = await next_request(sidecar)
-            assert asked.message.body == b"next"  # nothing of the other went out meanwhile
-            asked.reply()
+            received = await next_request(sidecar)
+            assert received.message.body == b"next"  # nothing of the other request was forwarded meanwhile
+            received.reply()
             assert (await client.answer()).status == 200
             assert not sidecar.host.requests and not sidecar.host.balancer.calls
 
     run(test())
 
 
-def test_the_end_is_heard_while_an_earlier_answer_has_not_left() -> None:
-    """Seen: a transport tells of the end when it has written all, which a caller that reads nothing puts off."""
+def test_a_disconnect_is_detected_while_an_earlier_answer_is_unsent() -> None:
+    """Prevents a late detection of the disconnect of a caller that does not read its answers.
+
+    A transport reports `connection_lost` only after it has written all data, which such a caller delays.
+    """
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -177,46 +183,46 @@
             transport.pause_reading()
             loop = asyncio.get_running_loop()
             client = Client(reader, asyncio.StreamWriter(transport, asyncio.Protocol(), reader, loop))
-            held = 0
-            while not held:  # answers until one stays in the sidecar
+            unsent_bytes = 0
+            while not unsent_bytes:  # send answers until one remains in the sidecar
                 client.send()
                 (await sidecar.endpoints[0].next()).reply(200, b"x" * 60_000)
                 while sidecar.host.requests:
                     await asyncio.sleep(0)
                 (caller,) = sidecar.callers.connections
-                for _ in range(3):  # what the loop has yet to hand to the kernel does not count
+                for _ in range(3):  # let the loop pass to the kernel what it can
                     await asyncio.sleep(0)
-                held = caller.transport.get_write_buffer_size()
-                assert not caller.write_blocked  # an answer is smaller than what may be written ahead
+                unsent_bytes = caller.transport.get_write_buffer_size()
+                assert not caller.write_blocked  # an answer is smaller than the write buffer limit
             client.send()
             await sidecar.endpoints[0].next()
             transport.write_eof()
-            await called_off(sidecar.endpoints[0])
+            await attempt_cancelled(sidecar.endpoints[0])
             assert not sidecar.host.requests
             transport.abort()
 
     run(test())
 
 
-def test_what_is_left_after_a_caller_has_gone_is_told_to_the_module_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_disconnect_is_reported_to_the_decision_module_at_most_once(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with Sidecar(Allowed={**SETUP["Allowed"], "MayCancel": False}) as sidecar:
-            told: list[str] = []
+            expired_calls: list[str] = []
             expired = sidecar.host.balancer.expired
 
-            def tell(now: int, call: str) -> None:
-                told.append(call)
+            def record_expired(now: int, call: str) -> None:
+                expired_calls.append(call)
                 expired(now, call)
 
-            monkeypatch.setattr(sidecar.host.balancer, "expired", tell)
+            monkeypatch.setattr(sidecar.host.balancer, "expired", record_expired)
             client = await sidecar.client()
             client.send(deadline_ms=3000)
-            asked = await sidecar.endpoints[0].next()
-            asked.reply()  # and the end, before the sidecar has read either
+            received = await sidecar.endpoints[0].next()
+            received.reply()  # followed by the disconnect, before the sidecar reads either
             client.writer.close()
             while sidecar.host.requests:
                 await asyncio.sleep(0)
-            assert len(told) <= 1
+            assert len(expired_calls) <= 1
             assert not sidecar.host.balancer.calls and sidecar.host.upstream.open_connections <= 1
 
     run(test())
