--- a/eiderhub/sidecar/host.py
+++ b/eiderhub/sidecar/host.py
@@ -46,7 +46,7 @@
         "payload",
         "pending_attempts",
         "tenant",
-    )  # fmt: skip
+    )
 
     def __init__(
         self,
--- a/eiderhub/sidecar/upstream.py
+++ b/eiderhub/sidecar/upstream.py
@@ -38,7 +38,7 @@
         "sent_us",
         "started",
         "timer",
-    )  # fmt: skip
+    )
 
     def __init__(
         self,
