--- a/eiderhub/sidecar/host.py
+++ b/eiderhub/sidecar/host.py
@@ -237,16 +237,16 @@
         self._mark_answered(request)
         return True
 
-    def _give_up(self, request: Request, why: FailureReason | None) -> None:
+    def _give_up(self, request: Request, reason: FailureReason | None) -> None:
         """Send the final answer in place of the decision module and report the request as expired to it.
 
-        The answer is a refusal if `why` is None, and a failure otherwise.
+        The answer is a refusal if `reason` is None, and a failure otherwise.
         """
         if self._claim_answer(request):
-            if why is None:
+            if reason is None:
                 request.caller.send_refusal(0)
             else:
-                request.caller.send_failure(why)
+                request.caller.send_failure(reason)
             self._notify(self.balancer.expired, request.call_id)
 
     def _on_deadline(self, request: Request) -> None:
--- a/eiderhub/sidecar/protocol_interface.py
+++ b/eiderhub/sidecar/protocol_interface.py
@@ -42,7 +42,7 @@
     def send_refusal(self, wait_us: int) -> None:
         """Send an answer that promises no effect: a retry is harmless after `wait_us`, 0 if no time is known."""
 
-    def send_failure(self, why: FailureReason) -> None: ...
+    def send_failure(self, reason: FailureReason) -> None: ...
 
 
 class Payload(Protocol):
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -47,8 +47,8 @@
     def send_refusal(self, wait_us: int) -> None:
         self.statuses.put_nowait(503)
 
-    def send_failure(self, why: FailureReason) -> None:
-        self.statuses.put_nowait(FAILURES[why])
+    def send_failure(self, reason: FailureReason) -> None:
+        self.statuses.put_nowait(FAILURES[reason])
 
 
 def direct_request(caller: RecordingCaller, class_name: str = "pay") -> Request:
