--- a/tests/membership/test_client.py
+++ b/tests/membership/test_client.py
@@ -353,7 +353,7 @@
             (fake,) = sidecar.endpoints
             critical = read_health(json.dumps([instance("web", fake.address, "critical")]).encode(), FieldMapping())
             update = asyncio.create_task(sidecar.source.on_list("web", critical.entries))
-            assert await caller.all.get() == 503
+            assert await caller.statuses.get() == 503
             await update
             assert fake.received.empty()
 
