--- a/eiderhub/balancer.py
+++ b/eiderhub/balancer.py
@@ -1,11 +1,12 @@
-"""All decisions of eiderhub. Its types, events and actions stand in eiderhub/interface.py: read that first.
+"""The decision module: admits, queues, routes, retries and hedges the requests of one sidecar instance.
 
-The ordinary path of a request, after "How Airbnb Built Adaptive Traffic Management for a Multi-tenant
-Key-value Store": it is priced in request units (RU) against its tenant's token bucket, while the latency
-ratio shows stress; past a learned in-flight cap it queues; long sojourn in that queue refuses new arrivals;
-it is sent to the less busy of two random members of a random subset of the next tier's endpoints.
+Read `eiderhub/interface.py` first: it defines the settings, events and actions that are used here.
 
-Around that stand the departures, each with the failure that it answers: docs/design.md lists them all.
+The path of a request follows "How Airbnb Built Adaptive Traffic Management for a Multi-tenant Key-value
+Store": it is priced in request units (RU) and charged to its tenant's token bucket, at a higher price while
+the latency ratio shows stress; past a learned in-flight cap it is queued; a long sojourn in that queue
+refuses new arrivals; it is sent to the less loaded of two random members of a random subset of the next
+tier's endpoints. docs/design.md lists the departures from this path and the failure behind each.
 """
 
 from __future__ import annotations
@@ -32,135 +33,137 @@
 )
 from eiderhub.policy.load_weight import LoadWeight, mean_busy
 
-# --- request units and buckets ---
-BASE_COST_RU = 1.0  # RU a call costs before anything is known of it
-HINT_RU_PER_US = 1e-5  # RU for each hinted microsecond: a hint of 100 ms doubles the base cost
-LATENCY_RU_PER_US = 5e-7  # RU for each microsecond of latency, charged when an attempt ends: 2 s double it
-REFILL_WINDOW_US = 500_000  # buckets refill this often: a few windows make a burst, one stays readable
-HEADROOM = 0.1  # share added to last window's served RU, so that budgets climb back after a cut
-SERVED_SMOOTHING = 0.15  # weight of the newest window: a quiet copy serves a handful in one window
-BURST_US = 1_500_000  # a bucket holds this long a refill: more lets a large tenant flood the queue
-BURST_RU = 3.0  # and this much more, or a tenant with few calls is called over its share by chance
-ACTIVE_US = 10_000_000  # a tenant unheard of for this long takes no part in the split
-HOT_FROM = 1.6  # times its even part that most tenants are served where a copy counts as hot
-HOT_MOST = 8.0  # times the even part of a quota that a copy with more than its part of the traffic grants
-FLOOR_PER_S = 1.0  # requests a second granted at least to a tenant without a stated quota
-COST_WEIGHT = 0.05  # weight of the newest call in the mean cost of a served one
-
-# --- latency ratio ---
-BUCKETS_PER_DOUBLING = 4  # resolution of the latency histograms: a step is 19%
-HISTOGRAM_FROM = 1 / 1024  # lowest latency told apart, as a share of the class's aim
-HISTOGRAM_SIZE = 64  # buckets: up to 64 times the aim
-SHORT_WINDOW_US = 1_500_000  # the short p95 covers one to two of these
-LONG_WINDOW_US = 20_000_000  # and the long p95 one to two of these
-RATIO_EVERY_US = 250_000  # the ratio is read off the histograms this often
-MIN_SAMPLES = 12  # fewer short-term samples say nothing: a few long calls would swing the p95
-NORMAL_SHARE = 0.5  # a long p95 past this share of the aim is no normal state, however long it has lasted
-STRESS_RATIO = 0.7  # below this ratio the lower tiers pay more
-PENALTY = 3.0  # price of the lowest tier under full stress: 1 + this
-
-SCARCITY_WEIGHT = 0.1  # weight of the newest arrival in the share of those that find no room
-SCARCE = 0.2  # past this share room is scarce, however normal the ratio has come to look
+# --- request units and token buckets ---
+BASE_COST_RU = 1.0  # price of a call without a hint
+HINT_RU_PER_US = 1e-5  # price of each hinted microsecond: a hint of 100 ms doubles the base cost
+LATENCY_RU_PER_US = 5e-7  # charged for an attempt's latency when it ends: 2 s double the base cost
+REFILL_WINDOW_US = 500_000  # interval of refills; a bucket's depth spans a few of them
+REFILL_HEADROOM = 0.1  # share added to the served RU, so that budgets recover after a cut
+RATE_WEIGHT = 0.15  # of the newest window, in which a quiet instance serves only a handful of calls
+BUCKET_DEPTH_US = 1_500_000  # refill that a bucket holds: more lets a large tenant flood the queue
+BUCKET_EXTRA_RU = 3.0  # and this much more, or random arrivals would take small tenants over their share
+TENANT_ACTIVE_US = 10_000_000  # a tenant without calls for this long takes no part in the split
+HOT_INSTANCE_RATIO = 1.6  # an instance is hot once most tenants are served this many times their quota
+MAX_QUOTA_FACTOR = 8.0  # bound on the factor by which a hot instance raises its quotas
+MIN_TENANT_RATE_PER_S = 1.0  # requests a second granted to a tenant without a stated quota
+MEAN_COST_WEIGHT = 0.05  # of the newest call in the mean cost of a served call
+
+# --- latency ratio; latencies are shares of the class's latency objective ---
+BUCKETS_PER_DOUBLING = 4  # a resolution of 19%
+HISTOGRAM_MIN = 1 / 1024  # lowest latency with a bucket of its own
+HISTOGRAM_BUCKETS = 64  # up to 64 times the objective
+SHORT_WINDOW_US = 1_500_000  # the short-term p95 covers one to two of these
+LONG_WINDOW_US = 20_000_000  # the long-term p95 covers one to two of these
+RATIO_INTERVAL_US = 250_000  # between computations of the ratio
+RATIO_MIN_SAMPLES = 12  # short-term samples; with fewer, a few long calls would swing the p95
+MAX_NORMAL_LATENCY = 0.5  # a long-term p95 above this is not the normal state, however long it has lasted
+STRESS_RATIO = 0.7  # stress begins below this ratio
+STRESS_PRICE_FACTOR = 3.0  # under full stress the least valuable class pays 1 + this times its price
+SATURATION_WEIGHT = 0.1  # of the newest arrival in the share of arrivals that find no capacity at once
+SATURATION_THRESHOLD = 0.2  # above this share capacity is scarce, even if the ratio looks normal
 
 # --- concurrency ---
-START_CALLS = 7.0  # in-flight calls an endpoint is taken to bear, from all copies together, before we learn
-SURE_CALLS = 14.0  # past that, the cap grows only by what was seen at the cap itself
-FLOOR_CALLS = 2.0  # and in any trouble: a floor that is too low starves sound endpoints once trouble is over
-REMOTE_PART = 0.6  # part of that granted in other zones, whose own callers come first
-MIN_CAP = 0.1  # calls; the sum over many copies must still be small
-DITHER_US = 250_000  # while crowded, a part of a call is granted part of the time: drawn anew so often
-CHANCE_ROOTS = 2.0  # square roots of the cap that calls in flight may exceed it by: arrivals come by chance
-CHANCE_ROOTS_OUTSIDE = 0.5  # the same at the outermost tier, where excess is to be refused
-TARGET_RISE = 2.0  # median latency, against the median seen while uncrowded, at which the cap falls
-TARGET_LEAST_RISE = 1.3  # and the least rise, where the uncrowded median takes much of the aim already
-TARGET_SHARE = 0.3  # nor may the median pass this share of the aim, divided by layer + 1
-BASE_WEIGHT = 0.3  # weight of the newest round in the median that the uncrowded median is taken from
-BASE_DRIFT = 1.01  # rise of the uncrowded median with each uncrowded round: it can follow a lasting change
-ROUND_SAMPLES = 8  # outcomes that make a round: the cap moves once a round
-ROUND_PER_CALL = 1.5  # and so many more for each call of the cap
-GROW_SHARE = 0.1  # growth in a good round, as a share of the cap
-GROW_CALLS = 0.3  # and at least this many calls
-DEEPEST_CUT = 0.6  # a bad round leaves at least this share of the cap
-FULL_COUNTS = 1.0  # an endpoint that turns a call away counts as a call that took this share of its aim
-GROW_EVERY_US = 2_500_000  # past what is sure it grows no faster: crowding takes so long to show
-FULL_CORES = 0.75  # mean busy share that endpoints may report: past it the cap falls
-ROOMY = 0.8  # below this part of that, slow calls are taken to wait for the tiers behind
-BINDING = 0.7  # the cap binds when this share of it is in use
-SURE_PART = 0.25  # part of a round for which it must have done so; once, or a burst would find room to tip in
-BOUND_PART = 0.5  # and part of a round once the cap has grown far
-FAIR_KEPT = 0.98  # of a list that has shrunk, kept from one refill window to the next: 10 s for a fifth
-SHY = 5.0  # what is learned above the start falls this many times as fast as the part of endpoints in use
-LOW_TIER_SHARE = 0.8  # share of the cap open to the lower tiers, so the rest finds room at once
-LOW_WORTH = 0.5  # tiers worth less than this share of the best class are lower tiers
-
-# --- hold queue ---
-HOLD_SHARE = 0.35  # a call is held for this share of its aim at most
-HOLD_SHARE_INSIDE = 0.5  # inner tiers hold longer: their refusals surface as errors that may have run
-SOJOURN_SHARE = 0.12  # target sojourn as a share of the aim
-SOJOURN_INTERVAL_US = 200_000  # sojourn above target for this long refuses arrivals
-SWEEP_US = 20_000  # how often held calls are looked at
-ANSWER_MARGIN_US = 60_000  # a held call is answered this long before its try ends: early enough to be retried
+INITIAL_ENDPOINT_CAP = 7.0  # calls in flight at one endpoint, from all instances together, before learning
+SAFE_ENDPOINT_CAP = 14.0  # above this the cap grows only on evidence gathered at the cap itself
+MIN_ENDPOINT_CAP = 2.0  # fewer would starve healthy endpoints once trouble is over
+REMOTE_ZONE_SHARE = 0.6  # of an even share, used in other zones, whose own callers come first
+MIN_CAP = 0.1  # calls; small, since the caps of many instances add up
+DITHER_INTERVAL_US = 250_000  # how often a fraction of a call in the cap is granted anew, at random
+BURST_FACTOR = 2.0  # calls in flight may exceed the cap by this times its square root: arrivals are random
+BURST_FACTOR_OUTERMOST = 0.5  # the same at the outermost tier, which is the one to refuse excess
+TARGET_RISE = 2.0  # the cap falls when the median latency reaches this many times the uncrowded one
+MIN_TARGET_RISE = 1.3  # lower bound of that rise, where the uncrowded median is high already
+MAX_TARGET_LATENCY = 0.3  # upper bound of the target, as a share of the objective, divided by layer + 1
+ROUND_WEIGHT = 0.3  # of the newest round in the smoothed median
+BASELINE_DRIFT = 1.01  # growth of the uncrowded median per uncrowded round, to follow lasting changes
+ROUND_SAMPLES = 8  # outcomes per round; the cap changes once a round
+ROUND_SAMPLES_PER_CALL = 1.5  # further outcomes per round for each call of the cap
+GROWTH_SHARE = 0.1  # growth in a good round, as a share of the cap
+MIN_GROWTH = 0.3  # calls by which the cap grows at least in a good round
+MIN_CUT_FACTOR = 0.6  # a bad round leaves at least this share of the cap
+REJECTION_LATENCY = 1.0  # a rejection by an endpoint counts as a call that took this share of its objective
+GROWTH_INTERVAL_US = 2_500_000  # between growth above the safe cap: crowding takes this long to show
+MAX_BUSY_SHARE = 0.75  # the cap falls when endpoints report more of their cores in use, on average
+LOW_CPU_FILL = 0.8  # below this part of MAX_BUSY_SHARE, slow calls are attributed to the tiers behind
+CAP_BINDING_SHARE = 0.7  # the cap binds when this share of it is in use
+MIN_BINDING_SHARE = 0.25  # of a round's outcomes, for growth: a single burst is not evidence
+MIN_BINDING_SHARE_HIGH = 0.5  # the same above the safe cap
+SHARE_KEPT = 0.98  # of the lagged share, per refill window: after a list has shrunk, it loses a fifth in 10 s
+LOSS_SENSITIVITY = 5.0  # the cap learned above the initial one falls this many times as fast as live capacity
+LOW_PRIORITY_CAP_SHARE = 0.8  # of the cap, open to low-priority calls, so that others find capacity at once
+LOW_PRIORITY_WORTH = 0.5  # a call worth less than this share of the best class has low priority
+
+# --- admission queue ---
+QUEUE_TIME_SHARE = 0.35  # of a class's objective that a call may be queued
+QUEUE_TIME_SHARE_INNER = 0.5  # longer in inner tiers, whose refusals look like errors that may have run
+SOJOURN_SHARE = 0.12  # target of the time in the queue, as a share of the objective
+SOJOURN_INTERVAL_US = 200_000  # a sojourn above target for this long refuses arrivals
+SWEEP_INTERVAL_US = 20_000  # between looks at queued calls and pending hedges
+ANSWER_MARGIN_US = 60_000  # a queued call is answered this long before its client gives up, for a retry
 
 # --- endpoints ---
-SENT_DECAY = 0.95  # of the work sent, kept from one refill window to the next: a memory of ten seconds
-LEAST_SPARE = 0.1  # part of an even share that free classes keep at endpoints that a bound class fills
-SUBSET_MIN = 5  # endpoints a copy keeps in use: few, so that a quiet one has evidence and warm connections
-SUBSET_PER_CALL = 2.0  # endpoints for each call of the cap: a hot copy spreads wider
-REDRAWS = 4  # tries to draw an endpoint that may take the call
-HEALTH_WEIGHT = 0.3  # weight of the newest outcome in an endpoint's failure share
-FLEET_WEIGHT = 0.02  # and in the failure share of all
-EJECT_FAILING = 0.45  # failure share at which an endpoint is ejected: two failures in a row pass it
-EJECT_VERSUS_PEERS = 0.5  # and this share of all endpoints' failure share more: shared trouble ejects nobody
-EJECTED_FAILING = 0.35  # failure share that an endpoint returns with: one failure more and it is out again
-TOGETHER_US = 20_000  # resets so close to each other tell of a process that is gone, not of a spoilt answer
-LEAVING_DECLINES = 3  # calls turned away in a row by which an endpoint is taken to be leaving, not busy
-MAX_EJECTED = 0.5  # share of the known endpoints, in all zones, that may be out at once
-EJECT_US = 3_000_000  # first ejection; each further one doubles it
-EJECT_MAX_US = 24_000_000  # up to this
-RETURN_US = 4_000_000  # an ejected endpoint climbs back to its full part in this time
-RETURN_FROM = 0.15  # starting with this part
-HEARSAY_FLOOR = 0.05  # the least part that others' evidence leaves: their word alone ejects nobody
-SLOW_WEIGHT = 0.2  # weight of the newest latency in an endpoint's mean
-SLOW_RANGE = 4.0  # an endpoint counts as at most this many times slower or faster than its peers
-COLD_USE = 0.5  # of the multiple that a cold endpoint bears, the share that all copies together use
-COUNT_EVERY_US = 50_000  # the part of a pool's endpoints in use is counted this often
-RATE_RISE, RATE_FALL = 0.2, 0.01  # weight of the newest window in a pool's rate
-OUTLIER = 2.0  # endpoints slower than their peers by this are left out of the ratio and the cap
+SENT_RU_KEPT = 0.95  # of the recorded work, per refill window: a memory of ten seconds
+MIN_SPARE_SHARE = 0.1  # of an even share, left to other classes where a constrained class fills its endpoints
+MIN_SUBSET_SIZE = 5  # small, so that a quiet instance gathers evidence and keeps connections warm
+SUBSET_SIZE_PER_CALL = 2.0  # endpoints per call of the cap: a hot instance spreads wider
+DRAWS_PER_CANDIDATE = 4  # random draws to find an endpoint that may take the call
+FAILURE_WEIGHT = 0.3  # of the newest outcome in an endpoint's failure rate
+OVERALL_WEIGHT = 0.02  # of the newest outcome in the failure rate and latency of all endpoints
+EJECTION_FAILURE_RATE = 0.45  # two failures in a row exceed it
+EJECTION_PEER_FACTOR = 0.5  # of the overall failure rate, added to it: shared trouble ejects nobody
+FAILURE_RATE_AFTER_EJECTION = 0.35  # one more failure ejects the endpoint again
+RESET_BURST_US = 20_000  # resets this close together mean an ended process, not a corrupt answer
+DRAINING_REJECTIONS = 3  # consecutive rejections after which an endpoint is taken to be draining, not busy
+MAX_EJECTED_SHARE = 0.5  # of the known endpoints in all zones
+EJECTION_US = 3_000_000  # doubled with each further ejection
+MAX_EJECTION_US = 24_000_000
+RECOVERY_US = 4_000_000  # ramp of an endpoint's traffic after an ejection
+RECOVERY_START = 0.15  # of its traffic, at the start of the ramp
+MIN_PEER_FACTOR = 0.05  # above zero, so that peer reports alone never eject an endpoint
+LATENCY_WEIGHT = 0.2  # of the newest latency in an endpoint's mean
+MAX_RELATIVE_LATENCY = 4.0  # bound on how much slower or faster than its peers an endpoint counts
+COLD_CAPACITY_USE = 0.5  # share of a cold endpoint's overload factor that all instances together use
+USAGE_INTERVAL_US = 50_000  # between computations of a pool's usable and live capacity
+RISE_WEIGHT, FALL_WEIGHT = 0.2, 0.01  # of the newest window in a pool's send rate
+OUTLIER_LATENCY = 2.0  # endpoints slower than this, relative to peers, do not affect the ratio and the cap
 
 # --- connections ---
-IDLE_FROM_US = 500_000  # idle times are told apart by doublings from here
-IDLE_STEPS = 5  # below that, and four doublings
-SILENT_RISE = 3.0  # an attempt is silent once it took so many usual (median) latencies without an answer
-SILENT_WEIGHT = 0.1  # weight of the newest attempt in the silent share of its idle time
-SILENT_EXCESS = 0.15  # share by which idle connections must be more often silent than fresh ones to be closed
-IDLE_SAMPLES = 5  # attempts before a share says anything
-IDLE_TRIES = 0.1  # part of those taken for dead that is tried all the same: trouble ends unannounced
-LINK_KEPT = 0.8  # of the time after which endpoints close idle connections, how long one is counted on
-HANDSHAKE_CALLS = 10.0  # calls in flight that a new connection counts as, for each first try that it costs
+IDLE_BUCKET_MIN_US = 500_000  # idle times fall into buckets: below this, and by doublings from it
+IDLE_BUCKETS = 5
+OVERDUE_RISE = 3.0  # an attempt counts as unanswered after this many median latencies
+UNANSWERED_WEIGHT = 0.1  # of the newest attempt in the unanswered share of its idle bucket
+MAX_UNANSWERED_EXCESS = 0.15  # connections idle this much more often unanswered than others are closed
+IDLE_MIN_SAMPLES = 5  # attempts before a share counts
+IDLE_PROBE_SHARE = 0.1  # of uses of connections presumed dead that go ahead, to notice when the trouble ends
+CONNECTION_KEPT_SHARE = 0.8  # of the endpoints' idle timeout, for which a connection is relied on
+HANDSHAKE_CALLS = 10.0  # in-flight calls that a new connection counts as, per unit of its price
 
 # --- attempts ---
-HOPELESS = 0.5  # share of the median latency: a call with less time to its aim or its end is not taken
-TRY_VOTES = 50  # calls that must come with another time left before the usual one is taken to have changed
-COPY_RISE = 3.0  # a second copy goes out when the first has taken this many usual (median) latencies
-RETRY_SHARE = 0.1  # retries and second copies allowed for each first attempt
-RETRY_BURST = 5.0  # and this many more
-MAX_ATTEMPTS = 3  # attempts from the first tier
-MAX_ATTEMPTS_INNER = 2  # from inner ones: layers that retry each other multiply
-RETRY_AFTER_SHARE = 0.5  # a refused client is told to wait this share of what it obeys, or up to twice it
-ASK_SPREAD_US = 5_000  # for each copy, over how long all of them ask first: discovery takes them one by one
-ASK_SPREAD_MAX_US = 1_000_000  # the list that a copy starts with may be old
-ASK_BACKOFF_US = 500_000  # first wait before subscribing again, doubled up to
-ASK_BACKOFF_MAX_US = 8_000_000
-SPILL_GAIN = 0.5  # how much of a call's worth is taken to be saved by sending it to another zone
+MIN_TIME_LEFT_SHARE = 0.5  # of the median latency; a call with less time left is refused
+TIMEOUT_VOTES = 50  # calls with another timeout after which the usual client timeout is replaced
+HEDGE_RISE = 3.0  # a hedge is sent when the first attempt has taken this many median latencies
+RETRY_SHARE = 0.1  # retries and hedges allowed per first attempt
+RETRY_BURST = 5.0  # retries and hedges allowed at once
+MAX_ATTEMPTS = 3  # from the outermost tier
+MAX_ATTEMPTS_INNER = 2  # from inner tiers: the retries of several tiers multiply
+RETRY_AFTER_SHARE = 0.5  # of the longest Retry-After that clients obey: the shortest one that is sent
+SPREAD_US = 5_000  # per instance, over which first polls are spread: discovery serves one at a time
+MAX_SPREAD_US = 1_000_000  # the cached list that is used meanwhile may be old
+POLL_BACKOFF_US = 500_000  # first wait after a failed poll; doubled with each further one
+MAX_POLL_BACKOFF_US = 8_000_000
+SPILLOVER_GAIN = 0.5  # share of a call's worth that sending it to another zone is expected to save
 
 UNANSWERED = frozenset((Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED))
 NEVER_RAN = frozenset((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_EXECUTED))
-UNLINKED = UNANSWERED | {Outcome.CONNECT_FAILED}  # after these the connection is gone
-SWEEP, ASK = "sweep", "ask"
+CONNECTION_LOST = UNANSWERED | {Outcome.CONNECT_FAILED}
+SWEEP_TIMER, POLL_TIMER = "sweep", "ask"
 
 
 def may_refuse(effect: Effect, dedup_scope: DedupScope, may_have_run: bool) -> bool:
-    """Rule 2: whether `shed` is a legal answer; if not, only `surrender` is."""
+    """Return whether the final answer may be `shed`, which promises that a retry is harmless.
+
+    If not, it must be `surrender`, which promises nothing.
+    """
     if not may_have_run or effect is Effect.IDEMPOTENT:
         return True
     return effect is Effect.DEDUPLICATED and dedup_scope is DedupScope.ALL
@@ -169,18 +172,18 @@
 def may_resend(
     effect: Effect,
     dedup_scope: DedupScope,
-    window_us: int,
+    dedup_window_us: int,
     first: tuple[int, str, int] | None,
     now: int,
     to: tuple[str, int],
 ) -> bool:
-    """Rule 2: whether another attempt may go to an endpoint `to` (zone, cell).
+    """Return whether another attempt may go to an endpoint in `to` (zone, cell): no effect may run twice.
 
     `first` is the earliest attempt that may have run, as (sent at, zone, cell), or None.
     """
     if first is None or effect is Effect.IDEMPOTENT:
         return True
-    if effect is Effect.AT_MOST_ONCE or now - first[0] > window_us:
+    if effect is Effect.AT_MOST_ONCE or now - first[0] > dedup_window_us:
         return False
     if dedup_scope is DedupScope.ALL:
         return True
@@ -188,268 +191,291 @@
 
 
 class TokenBuckets:
-    """Tenants' budgets in RU, refilled each window from what was served in the last."""
+    """Tenants' budgets in RU, refilled each window by what was served in the last ones."""
 
     class Bucket:
-        __slots__ = ("got", "got_per_s", "last_seen_at", "quota", "refill", "share", "tokens")
+        """The budget of one tenant at this instance."""
+
+        __slots__ = (
+            "last_seen_at", "quota_per_s", "refill_per_s", "served_ru", "served_ru_per_s", "share", "tokens",
+        )  # fmt: skip
 
-        def __init__(self, share: float, quota: float) -> None:
+        def __init__(self, share: float, quota_per_s: float) -> None:
             self.share = share
-            self.quota = quota  # requests a second at this copy
-            self.refill = quota * BASE_COST_RU * (1 + HEADROOM)  # RU a second
+            self.quota_per_s = quota_per_s  # requests, at this instance
+            self.refill_per_s = quota_per_s * BASE_COST_RU * (1 + REFILL_HEADROOM)  # RU
             self.tokens = self.depth()
-            self.last_seen_at = -ACTIVE_US
-            self.got = 0.0  # RU served in this window, within its share or not
-            self.got_per_s = 0.0  # smoothed
+            self.last_seen_at = -TENANT_ACTIVE_US
+            self.served_ru = 0.0  # in this window, within the share or over it
+            self.served_ru_per_s = 0.0  # smoothed
 
         def depth(self) -> float:
-            """The most it holds, in RU."""
-            return self.refill * BURST_US / 1e6 + BURST_RU
+            """Return the most RU that it holds."""
+            return self.refill_per_s * BUCKET_DEPTH_US / 1e6 + BUCKET_EXTRA_RU
 
     def __init__(self, settings: Settings, phase_us: int, now: int) -> None:
         self.buckets = {
-            t.name: self.Bucket(t.share or 1.0, t.quota_per_s / settings.balancers or FLOOR_PER_S)
+            t.name: self.Bucket(t.share or 1.0, t.quota_per_s / settings.balancers or MIN_TENANT_RATE_PER_S)
             for t in settings.tenants
         }
         self.next_refill = now + phase_us
-        self.served = 0.0  # RU in this window
-        self.served_per_s = 0.0  # smoothed
+        self.paid_ru = 0.0  # served within the shares, in this window
+        self.paid_ru_per_s = 0.0  # smoothed
         self.mean_cost = BASE_COST_RU
 
     def bucket_for(self, tenant: str) -> Bucket:
+        """Return the tenant's bucket; a tenant that the settings don't name gets one with a small quota."""
         bucket = self.buckets.get(tenant)
         if bucket is None:
-            bucket = self.buckets[tenant] = self.Bucket(1.0, FLOOR_PER_S)
+            bucket = self.buckets[tenant] = self.Bucket(1.0, MIN_TENANT_RATE_PER_S)
         return bucket
 
-    def charge(self, bucket: Bucket, price: float, paid: float, latency_us: int, ok: bool) -> None:
-        """Charge the latency of an attempt that has ended; `paid` of its price was charged on arrival."""
-        extra = LATENCY_RU_PER_US * latency_us
-        if paid:
-            bucket.tokens -= extra
+    def charge(self, bucket: Bucket, price_ru: float, paid_ru: float, latency_us: int, ok: bool) -> None:
+        """Charge for the latency of an ended attempt; `paid_ru` was charged on the call's arrival."""
+        latency_ru = LATENCY_RU_PER_US * latency_us
+        if paid_ru:
+            bucket.tokens -= latency_ru
         if ok:
-            self.mean_cost += COST_WEIGHT * (price + extra - self.mean_cost)
-            bucket.got += price + extra
-            # Guards against a tenant far over its share whose calls, served in slack, raise its own budget.
-            if paid:
-                self.served += price + extra
+            self.mean_cost += MEAN_COST_WEIGHT * (price_ru + latency_ru - self.mean_cost)
+            bucket.served_ru += price_ru + latency_ru
+            # Calls over the share that spare capacity serves must not raise the tenant's own budget.
+            if paid_ru:
+                self.paid_ru += price_ru + latency_ru
 
     def refill(self, now: int) -> None:
+        """Refill the buckets for the windows that have passed, and split the served rate by shares."""
         windows = 1 + (now - self.next_refill) // REFILL_WINDOW_US
         self.next_refill += windows * REFILL_WINDOW_US
         for _ in range(min(windows, 20)):
-            rate = self.served * 1e6 / REFILL_WINDOW_US
-            self.served_per_s += SERVED_SMOOTHING * (rate - self.served_per_s)
-            self.served = 0.0
+            rate = self.paid_ru * 1e6 / REFILL_WINDOW_US
+            self.paid_ru_per_s += RATE_WEIGHT * (rate - self.paid_ru_per_s)
+            self.paid_ru = 0.0
             for b in self.buckets.values():
-                b.got_per_s += SERVED_SMOOTHING * (b.got * 1e6 / REFILL_WINDOW_US - b.got_per_s)
-                b.got = 0.0
-        active = [b for b in self.buckets.values() if now - b.last_seen_at < ACTIVE_US]
-        shares, hot = sum(b.share for b in active), self._hot(active)
+                b.served_ru_per_s += RATE_WEIGHT * (b.served_ru * 1e6 / REFILL_WINDOW_US - b.served_ru_per_s)
+                b.served_ru = 0.0
+        active = [b for b in self.buckets.values() if now - b.last_seen_at < TENANT_ACTIVE_US]
+        shares, quota_factor = sum(b.share for b in active), self._quota_factor(active)
         for b in self.buckets.values():
-            split = self.served_per_s * b.share / shares if shares else 0.0
-            # A quota is stated in requests: at its present cost, or calls that slow down would shrink it.
-            b.refill = max(b.quota * self.mean_cost * hot, split) * (1 + HEADROOM)
-            b.tokens = min(b.depth(), b.tokens + b.refill * windows * REFILL_WINDOW_US / 1e6)
-
-    def _hot(self, active: list[Bucket]) -> float:
-        """How many times its even part of the traffic this copy has, as most tenants' served calls tell.
-
-        Danger: quotas are split evenly, and some copies of many see several times the mean. There all tenants
-        pass their part, rank alike, and those well within their share are refused beside one far over it. A
-        tenant that alone gets more raises nothing, nor do clients' repeats, which are served once.
+            split = self.paid_ru_per_s * b.share / shares if shares else 0.0
+            # A quota counts requests: priced at the mean cost, it does not shrink when calls slow down.
+            b.refill_per_s = max(b.quota_per_s * self.mean_cost * quota_factor, split) * (1 + REFILL_HEADROOM)
+            b.tokens = min(b.depth(), b.tokens + b.refill_per_s * windows * REFILL_WINDOW_US / 1e6)
+
+    def _quota_factor(self, active: list[Bucket]) -> float:
+        """Return how many times its even share of the traffic this instance gets; 1 unless it is hot.
+
+        Quotas are split evenly, and some of many instances get several times the mean. Without this factor
+        all tenants there exceed their share and rank alike, so that those well within their share of the
+        whole are refused beside one far over it. The factor is the one that at least half of the tenants
+        reach by their served calls: a single tenant with more traffic does not raise it, nor do the repeats
+        of a request by its client, of which only one is served.
         """
-        even = sorted(b.got_per_s / (b.quota * self.mean_cost) for b in active)
-        most = even[(len(even) - 1) // 2] if len(even) > 1 else 0.0
-        return min(most, HOT_MOST) if most > HOT_FROM else 1.0
+        ratios = sorted(b.served_ru_per_s / (b.quota_per_s * self.mean_cost) for b in active)
+        median = ratios[(len(ratios) - 1) // 2] if len(ratios) > 1 else 0.0
+        return min(median, MAX_QUOTA_FACTOR) if median > HOT_INSTANCE_RATIO else 1.0
 
 
 class Histogram:
-    """Counts of latencies, taken as shares of their class's aim, in log-spaced buckets."""
+    """Counts of latencies, as shares of the class's objective, in log-spaced buckets."""
 
     __slots__ = ("counts", "total")
 
     def __init__(self) -> None:
-        self.counts = [0] * HISTOGRAM_SIZE
+        self.counts = [0] * HISTOGRAM_BUCKETS
         self.total = 0
 
-    def add(self, share: float) -> None:
-        place = int(math.log2(share / HISTOGRAM_FROM) * BUCKETS_PER_DOUBLING) if share > HISTOGRAM_FROM else 0
-        self.counts[min(place, HISTOGRAM_SIZE - 1)] += 1
+    def add(self, value: float) -> None:
+        """Count one latency."""
+        index = int(math.log2(value / HISTOGRAM_MIN) * BUCKETS_PER_DOUBLING) if value > HISTOGRAM_MIN else 0
+        self.counts[min(index, HISTOGRAM_BUCKETS - 1)] += 1
         self.total += 1
 
-    def above(self, part: float, older: Histogram | None = None) -> float:
-        """The latency that this part of the samples, those of `older` too, lies above."""
-        left = part * (self.total + (older.total if older else 0))
-        place = HISTOGRAM_SIZE - 1
-        while place > 0:
-            left -= self.counts[place] + (older.counts[place] if older else 0)
-            if left < 0:
+    def upper_quantile(self, fraction: float, older: Histogram | None = None) -> float:
+        """Return the latency that this fraction of the samples, with those of `older`, exceeds."""
+        remaining = fraction * (self.total + (older.total if older else 0))
+        index = HISTOGRAM_BUCKETS - 1
+        while index > 0:
+            remaining -= self.counts[index] + (older.counts[index] if older else 0)
+            if remaining < 0:
                 break
-            place -= 1
-        return float(HISTOGRAM_FROM * 2 ** ((place + 0.5) / BUCKETS_PER_DOUBLING))
+            index -= 1
+        return float(HISTOGRAM_MIN * 2 ** ((index + 0.5) / BUCKETS_PER_DOUBLING))
 
 
 class LatencyRatio:
-    """Long p95 over short p95 of call latencies."""
+    """The long-term p95 of call latencies over the short-term p95: below 1 the tier is under stress."""
 
     def __init__(self, now: int) -> None:
         self.short = (Histogram(), Histogram())  # newer and older half
         self.long = (Histogram(), Histogram())
-        self.short_turn = now + SHORT_WINDOW_US
-        self.long_turn = now + LONG_WINDOW_US
-        self.next_read = now + RATIO_EVERY_US
+        self.short_rotates_at = now + SHORT_WINDOW_US
+        self.long_rotates_at = now + LONG_WINDOW_US
+        self.next_refresh_at = now + RATIO_INTERVAL_US
         self.value = 1.0
 
-    def record(self, now: int, share: float) -> None:
-        self.short[0].add(share)
-        self.long[0].add(share)
-        if now >= self.next_read:
-            self.read(now)
-
-    def read(self, now: int) -> None:
-        self.next_read = now + RATIO_EVERY_US
-        if now >= self.short_turn:
-            stale = now >= self.short_turn + SHORT_WINDOW_US
-            self.short_turn = now + SHORT_WINDOW_US
+    def record(self, now: int, latency: float) -> None:
+        """Count a latency, and compute the ratio where that is due."""
+        self.short[0].add(latency)
+        self.long[0].add(latency)
+        if now >= self.next_refresh_at:
+            self.refresh(now)
+
+    def refresh(self, now: int) -> None:
+        """Rotate the windows and compute the ratio."""
+        self.next_refresh_at = now + RATIO_INTERVAL_US
+        if now >= self.short_rotates_at:
+            stale = now >= self.short_rotates_at + SHORT_WINDOW_US
+            self.short_rotates_at = now + SHORT_WINDOW_US
             self.short = (Histogram(), Histogram() if stale else self.short[0])
-        if now >= self.long_turn:
-            self.long_turn = now + LONG_WINDOW_US
+        if now >= self.long_rotates_at:
+            self.long_rotates_at = now + LONG_WINDOW_US
             self.long = (Histogram(), self.long[0])
-        if self.short[0].total + self.short[1].total < MIN_SAMPLES:
+        if self.short[0].total + self.short[1].total < RATIO_MIN_SAMPLES:
             self.value = 1.0
             return
-        # Guards against a day that is slow from its first second: what has always been slow looks normal.
-        normal = min(self.long[0].above(0.05, self.long[1]), NORMAL_SHARE)
-        self.value = normal / self.short[0].above(0.05, self.short[1])
+        # The bound matters for a tier that is slow from its start: its slow state would look normal.
+        normal = min(self.long[0].upper_quantile(0.05, self.long[1]), MAX_NORMAL_LATENCY)
+        self.value = normal / self.short[0].upper_quantile(0.05, self.short[1])
 
     def stress(self) -> float:
-        """0 while the ratio sits near 1, up to 1."""
+        """Return the stress, from 0 while the ratio is near 1 up to 1."""
         return max(0.0, 1.0 - self.value / STRESS_RATIO)
 
 
 class ConcurrencyLimit:
-    """The in-flight cap of one pool, learned from outcomes: latencies as shares of their class's aim.
+    """The in-flight cap of one pool, learned from latencies, taken as shares of the class's objective.
 
-    It follows medians: single long calls, and the few that met a slow endpoint on their way, say nothing of
-    crowding, and a cap that falls for them starves the sound endpoints.
+    It follows medians: single long calls, and the few that met a slow endpoint, are no sign of crowding, and
+    a cap that fell for them would starve the healthy endpoints.
     """
 
     def __init__(self, layer: int) -> None:
-        self.endpoint_cap = START_CALLS  # calls that an endpoint is taken to bear, from all copies together
-        self.listed = 0.0  # this copy's part of the endpoints: it bounds the sum over all copies
-        self.fair = 0.0  # the same, as the cap counts it: it follows a list that shrinks by and by
-        self.open = 1.0  # the part of their capacity that is in use
-        self.warm = 1.0  # the part that is surely there: neither cold, nor at rest, nor out of reach
-        self.busy: float | None = None  # the mean busy share that its endpoints tell
+        self.endpoint_cap = INITIAL_ENDPOINT_CAP  # calls in flight at one endpoint, from all instances
+        self.endpoint_share = 0.0  # this instance's even share of the listed endpoints, as their number
+        self.lagged_share = 0.0  # the same, following a list that shrinks gradually
+        self.usable_fraction = 1.0  # of the pool's capacity: neither cold nor ejected
+        self.live_fraction = 1.0  # of the pool's capacity: neither cold nor ejected as unreachable
+        self.mean_busy: float | None = None  # mean busy share that the endpoints report
         self.in_flight = 0
         self.dither = 0.0
-        self.next_dither = 0
-        self.median_latency = self.base = 0.0
-        self.most = TARGET_SHARE / (layer + 1)
-        self.normal = NORMAL_SHARE / (layer + 1)
+        self.next_dither_at = 0
+        self.median_latency = self.baseline = 0.0  # smoothed; baseline: while uncrowded
+        self.max_target = MAX_TARGET_LATENCY / (layer + 1)
+        self.max_normal = MAX_NORMAL_LATENCY / (layer + 1)  # highest latency that may be the uncrowded one
         self.round = Histogram()
-        self.bound = 0  # outcomes of this round that came while the cap was in the way
-        self.roots = CHANCE_ROOTS if layer else CHANCE_ROOTS_OUTSIDE
-        self.slack = 0.5  # 1 uncrowded, 0 with latencies at their target
-        self.changed = self.grown = 0
+        self.cap_bound_count = 0  # outcomes of this round that came while the cap was binding
+        self.burst_factor = BURST_FACTOR if layer else BURST_FACTOR_OUTERMOST
+        self.headroom = 0.5  # 1 while uncrowded, 0 with latencies at their target
+        self.cut_at = self.grown_at = 0
 
     @property
     def cap(self) -> float:
-        """The cap on the mean of calls in flight: it shrinks and grows with the endpoints in use.
+        """The cap on the mean number of calls in flight; it follows the capacity in use.
 
-        Danger: a cap learned with all endpoints falls on the few left, or on cold ones, and jams those too.
-        While a part is out, retries and returning endpoints crowd the rest, which bear less than was learned.
+        While a part of the endpoints is lost, retries and returning endpoints crowd the rest, which then bear
+        less than was learned: the full cap would overload the few that are left, or cold ones.
         """
-        learned = max(0.0, self.endpoint_cap - START_CALLS) * max(0.0, 1.0 - SHY * (1.0 - self.warm))
-        each = min(self.endpoint_cap, START_CALLS + learned)
-        return max(MIN_CAP, min(each * self.fair, max(each, SURE_CALLS) * self.listed) * self.open)
+        learned = max(0.0, self.endpoint_cap - INITIAL_ENDPOINT_CAP) * max(
+            0.0, 1.0 - LOSS_SENSITIVITY * (1.0 - self.live_fraction)
+        )
+        endpoint_cap = min(self.endpoint_cap, INITIAL_ENDPOINT_CAP + learned)
+        return max(
+            MIN_CAP,
+            min(endpoint_cap * self.lagged_share, max(endpoint_cap, SAFE_ENDPOINT_CAP) * self.endpoint_share)
+            * self.usable_fraction,
+        )
 
-    def size(self, fair: float) -> None:
-        """A list has come.
+    def set_endpoint_share(self, endpoint_share: float) -> None:
+        """Take this instance's share of a new list.
 
-        Danger: in a release endpoints leave the list and are back within seconds, some at any time. A cap
-        that goes with each of them starves the tier while its clients repeat, so calls stay as many for a
-        while, as far as those that are left bear them on any day.
+        In a release endpoints leave the list and return within seconds. A cap that followed each of them
+        would starve the tier while its clients retry, so it falls gradually, as far as the endpoints that are
+        left safely bear it.
         """
-        self.listed = fair
-        self.fair = max(fair, self.fair)
+        self.endpoint_share = endpoint_share
+        self.lagged_share = max(endpoint_share, self.lagged_share)
 
-    def max_in_flight(self, scarcity: float) -> float:
-        """The calls that may be out at one moment, while the cap bounds their mean.
+    def max_in_flight(self, saturation: float) -> float:
+        """Return the calls that may be in flight at one moment, while the cap bounds their mean.
 
-        Danger: a quiet inner copy has a cap of a call or two, which chance alone passes all the time: it
-        would refuse work half done while its endpoints sit idle. As latencies near their target the room
-        closes to the cap, and the outermost tier has least: what is too much is to be refused there.
+        A quiet inner instance has a cap of a call or two, which random arrivals exceed all the time: without
+        an allowance it would refuse half-done work beside idle endpoints. The allowance closes as latencies
+        near their target, and is least at the outermost tier, where excess is to be refused.
         """
         cap = self.cap
-        return cap + self.roots * self.slack * (1.0 - scarcity) * math.sqrt(cap)
+        return cap + self.burst_factor * self.headroom * (1.0 - saturation) * math.sqrt(cap)
 
-    def full(self, now: int, room: float, rng: random.Random) -> bool:
-        """Whether the room is taken; while crowded it counts exactly, parts of a call for part of the time.
+    def is_full(self, now: int, max_in_flight: float, rng: random.Random) -> bool:
+        """Return whether the calls in flight reach this bound.
 
-        Danger: caps rounded up to whole calls at hundreds of copies keep a small fleet crowded.
+        While crowded, a fraction of a call in the bound is granted for that fraction of the time: bounds
+        rounded up to whole calls at hundreds of instances would keep a small fleet crowded.
         """
-        if now >= self.next_dither:
-            self.next_dither = now + DITHER_US
+        if now >= self.next_dither_at:
+            self.next_dither_at = now + DITHER_INTERVAL_US
             self.dither = rng.random()
-        return self.in_flight >= (room if self.slack else int(room + self.dither))
+        return self.in_flight >= (max_in_flight if self.headroom else int(max_in_flight + self.dither))
 
-    def learn(self, now: int, sent: int, share: float) -> None:
-        # Guards against cutting again and again for calls that were sent before the last cut.
-        if sent < self.changed:
+    def record_outcome(self, now: int, sent_at: int, latency: float) -> None:
+        """Take an outcome; the last one of a round adjusts the cap."""
+        # Calls sent before the last cut say nothing of its effect, and would cut again and again.
+        if sent_at < self.cut_at:
             return
-        self.round.add(share)
+        self.round.add(latency)
         cap = self.cap
-        self.bound += self.in_flight >= BINDING * cap
-        if self.round.total >= ROUND_SAMPLES + ROUND_PER_CALL * cap:
-            self._close(now, cap)
-
-    def _close(self, now: int, cap: float) -> None:
-        median = self.round.above(0.5)
-        self.median_latency += (BASE_WEIGHT if self.median_latency else 1.0) * (median - self.median_latency)
-        # Danger: where each round drifts, a busy day is learned as its uncrowded state; the cap climbs with
-        # it for minutes, until a burst jams all endpoints. Covers any lasting overload. Where endpoints slow
-        # down for good, that is learned late: once the cap has fallen to what they surely bear.
-        drift = 1.0 if self.bound and self.endpoint_cap > SURE_CALLS else BASE_DRIFT
-        # Guards against a start amid overload: what was always slow is not taken for the uncrowded state.
-        self.base = min(self.base * drift if self.base else self.normal, self.median_latency)
-        target = max(TARGET_LEAST_RISE * self.base, min(TARGET_RISE * self.base, self.most))
-        fill = 1.0 if self.busy is None else self.busy / FULL_CORES
-        if fill < ROOMY:  # slow is what lies behind them, of which more calls wait without harm
-            target = max(target, self.normal)
-        self.slack = min(1.0, max(0.0, TARGET_RISE * (1.0 - median / target)))
-        if median > target or fill > 1.0:
+        self.cap_bound_count += self.in_flight >= CAP_BINDING_SHARE * cap
+        if self.round.total >= ROUND_SAMPLES + ROUND_SAMPLES_PER_CALL * cap:
+            self._finish_round(now, cap)
+
+    def _finish_round(self, now: int, cap: float) -> None:
+        """Cut or raise the cap by the median latency of the round and the reported CPU load."""
+        median = self.round.upper_quantile(0.5)
+        self.median_latency += (ROUND_WEIGHT if self.median_latency else 1.0) * (median - self.median_latency)
+        # If the baseline drifted in every round, a lasting overload would be learned as the uncrowded state:
+        # the cap would climb for minutes, until a burst jams all endpoints. The price is that a permanent
+        # slowdown of the endpoints is learned late, once the cap has fallen to what they safely bear.
+        drift = 1.0 if self.cap_bound_count and self.endpoint_cap > SAFE_ENDPOINT_CAP else BASELINE_DRIFT
+        # At a start amid overload, latencies that were always high are not the uncrowded state.
+        self.baseline = min(self.baseline * drift if self.baseline else self.max_normal, self.median_latency)
+        target = max(MIN_TARGET_RISE * self.baseline, min(TARGET_RISE * self.baseline, self.max_target))
+        cpu_fill = 1.0 if self.mean_busy is None else self.mean_busy / MAX_BUSY_SHARE
+        if cpu_fill < LOW_CPU_FILL:  # the tiers behind are slow: more calls may wait for them without harm
+            target = max(target, self.max_normal)
+        self.headroom = min(1.0, max(0.0, TARGET_RISE * (1.0 - median / target)))
+        if median > target or cpu_fill > 1.0:
             self.endpoint_cap = max(
-                FLOOR_CALLS,
-                self.endpoint_cap * max(DEEPEST_CUT, min(target / median, 1 / fill)),
+                MIN_ENDPOINT_CAP, self.endpoint_cap * max(MIN_CUT_FACTOR, min(target / median, 1 / cpu_fill))
             )
-            self.changed = now
-        elif self._tried() and (self.endpoint_cap < SURE_CALLS or now >= self.grown + GROW_EVERY_US):
-            self.endpoint_cap += max(GROW_CALLS * self.endpoint_cap / cap, GROW_SHARE * self.endpoint_cap)
-            self.grown = now
-        self.round, self.bound = Histogram(), 0
+            self.cut_at = now
+        elif self._round_allows_growth() and (
+            self.endpoint_cap < SAFE_ENDPOINT_CAP or now >= self.grown_at + GROWTH_INTERVAL_US
+        ):
+            self.endpoint_cap += max(MIN_GROWTH * self.endpoint_cap / cap, GROWTH_SHARE * self.endpoint_cap)
+            self.grown_at = now
+        self.round, self.cap_bound_count = Histogram(), 0
 
-    def _tried(self) -> bool:
-        """Whether this round shows what endpoints bear at the cap, which may grow then.
+    def _round_allows_growth(self) -> bool:
+        """Return whether this round shows what all endpoints bear at the cap.
 
-        Guards against bursts, and against what a few endpoints bear a while in place of others: calls that
-        met a cap far off, or a part of it, say nothing of the whole.
+        Calls that met a cap which was not binding show nothing, nor do short bursts, nor what a few endpoints
+        bear for a while in place of others.
         """
-        part = BOUND_PART if self.endpoint_cap > SURE_CALLS else SURE_PART
-        return self.open == 1.0 and self.bound > part * self.round.total
+        share = MIN_BINDING_SHARE_HIGH if self.endpoint_cap > SAFE_ENDPOINT_CAP else MIN_BINDING_SHARE
+        return self.usable_fraction == 1.0 and self.cap_bound_count > share * self.round.total
 
 
 class RetryBudget:
-    """Retries as a share of first attempts, so that trouble does not multiply the load."""
+    """Bounds retries and hedges to a share of first attempts, so that trouble does not multiply the load."""
 
     def __init__(self) -> None:
         self.tokens = RETRY_BURST
 
     def earn(self) -> None:
+        """Credit one first attempt."""
         self.tokens = min(RETRY_BURST, self.tokens + RETRY_SHARE)
 
     def spend(self) -> bool:
+        """Take the token of one retry or hedge; return whether there was one."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
@@ -457,66 +483,70 @@
 
 
 class IdleConnections:
-    """Which connections have been idle too long to be trusted, learned from attempts that got no answer.
+    """Learns from unanswered attempts how long a connection may be idle and still be reliable.
 
-    Danger: something on the way drops idle connections unseen. What is sent on one waits out its whole try,
-    at any endpoint and for any class, so no endpoint looks ill; quiet copies are hit most.
+    Middleboxes drop idle connections silently. A request sent on one waits for its whole timeout, at any
+    endpoint and for any class, so that no endpoint looks faulty; quiet instances are affected most.
     """
 
-    def __init__(self, closed_us: int) -> None:
-        self.closed_us = closed_us or 1 << 62
-        # Silent shares, and attempts, by idle time; the last place is for fresh connections.
-        self.shares = [0.0] * (IDLE_STEPS + 1)
-        self.counts = [0] * (IDLE_STEPS + 1)
-
-    def step(self, idle_us: int) -> int:
-        if idle_us >= self.closed_us:
-            return IDLE_STEPS
-        return min((idle_us // IDLE_FROM_US).bit_length(), IDLE_STEPS - 1)
-
-    def learn(self, step: int, silent: bool) -> None:
-        self.counts[step] += 1
-        weight = max(SILENT_WEIGHT, 1 / self.counts[step])
-        self.shares[step] += weight * (silent - self.shares[step])
-
-    def dead(self, step: int, chance: float) -> bool:
-        """Whether connections idle for so long had better be closed first; `chance` is drawn from 0..1."""
-        if step == IDLE_STEPS or self.counts[step] < IDLE_SAMPLES or chance < IDLE_TRIES:
+    def __init__(self, server_timeout_us: int) -> None:
+        self.server_timeout_us = server_timeout_us or 1 << 62
+        # Unanswered shares, and attempts, by idle bucket; the last entry is for new connections.
+        self.unanswered_shares = [0.0] * (IDLE_BUCKETS + 1)
+        self.counts = [0] * (IDLE_BUCKETS + 1)
+
+    def bucket_of_idle_time(self, idle_us: int) -> int:
+        """Return the bucket of an idle time; a connection that the server has closed is a new one."""
+        if idle_us >= self.server_timeout_us:
+            return IDLE_BUCKETS
+        return min((idle_us // IDLE_BUCKET_MIN_US).bit_length(), IDLE_BUCKETS - 1)
+
+    def record_outcome(self, bucket: int, unanswered: bool) -> None:
+        """Count the outcome of an attempt on a connection of this bucket."""
+        self.counts[bucket] += 1
+        weight = max(UNANSWERED_WEIGHT, 1 / self.counts[bucket])
+        self.unanswered_shares[bucket] += weight * (unanswered - self.unanswered_shares[bucket])
+
+    def should_close(self, bucket: int, draw: float) -> bool:
+        """Return whether to close connections of this bucket before use; `draw` is random in 0..1."""
+        if bucket == IDLE_BUCKETS or self.counts[bucket] < IDLE_MIN_SAMPLES or draw < IDLE_PROBE_SHARE:
             return False
-        sound = [s for s, n in zip(self.shares, self.counts, strict=True) if n >= IDLE_SAMPLES]
-        if self.counts[IDLE_STEPS] < IDLE_SAMPLES:
-            sound.append(0.0 if chance < 0.5 else 1.0)  # half of them show how fresh ones fare
-        return self.shares[step] > min(sound) + SILENT_EXCESS
+        known = [s for s, n in zip(self.unanswered_shares, self.counts, strict=True) if n >= IDLE_MIN_SAMPLES]
+        if self.counts[IDLE_BUCKETS] < IDLE_MIN_SAMPLES:
+            known.append(0.0 if draw < 0.5 else 1.0)  # half of the uses measure how new connections do
+        return self.unanswered_shares[bucket] > min(known) + MAX_UNANSWERED_EXCESS
 
 
 class EndpointState:
     """What this instance knows of one endpoint: its listing, own calls, health and slow start."""
 
     __slots__ = (
-        "cell", "cold_tokens", "cold_tokens_at", "declines", "ejected_until", "ejections", "failed_at",
-        "failing", "id", "in_flight", "is_ready", "kind", "labels", "launched", "listed", "load_weight",
-        "order", "peak", "peak_at", "peer_factor", "slow", "unreachable", "used", "weight", "zone",
+        "cell", "cold_tokens", "cold_tokens_at", "ejected_until", "ejection_count", "failure_rate", "id",
+        "in_flight", "is_listed", "is_ready", "is_unreachable", "labels", "last_failure_at", "last_used_at",
+        "load_weight", "machine_kind", "peak_at", "peak_in_flight", "peer_factor", "rejections_in_a_row",
+        "relative_latency", "sort_key", "started_at", "weight", "zone",
     )  # fmt: skip
 
     def __init__(self, entry: Endpoint, now: int) -> None:
         self.id = entry.id
-        self.order = zlib.crc32(entry.id.encode())  # one order for all copies, which the ids tell nothing of
-        self.in_flight = self.failed_at = 0
-        self.failing = 0.0
-        self.slow = 0.0  # mean latency over that of the peers; 0 unknown
+        self.sort_key = zlib.crc32(entry.id.encode())  # one order for all instances, unlike that of ids
+        self.in_flight = self.last_failure_at = 0
+        self.failure_rate = 0.0
+        self.relative_latency = 0.0  # mean latency over that of all endpoints; 0: unknown
         self.load_weight = LoadWeight()
-        self.peer_factor = 1.0  # the part that others' evidence leaves it
-        self.unreachable = False  # the last call found nobody there; a spoilt answer may be a sound one's
-        self.declines = 0  # calls turned away in a row
-        self.cold_tokens = -1.0  # sends that it may have while cold; below 0: not begun
+        self.peer_factor = 1.0  # share of its traffic that peer reports leave it
+        self.is_unreachable = False  # whether the last failure was one of the process, not of a single answer
+        self.rejections_in_a_row = 0
+        self.cold_tokens = -1.0  # sends that it may get while cold; below 0: slow start has not begun
         self.cold_tokens_at = 0
-        self.used = 0  # when a connection to it was last in use; 0: never
-        self.peak = self.peak_at = 0  # most calls in flight lately, and when: so many connections are open
-        self.ejected_until = self.ejections = self.launched = 0
-        self.take(entry, now)
-
-    def take(self, entry: Endpoint, now: int) -> None:
-        self.zone, self.kind, self.cell, self.weight = (
+        self.last_used_at = 0  # when a connection to it was last in use; 0: never
+        self.peak_in_flight = self.peak_at = 0  # recent maximum, which is the number of open connections
+        self.ejected_until = self.ejection_count = self.started_at = 0
+        self.update(entry, now)
+
+    def update(self, entry: Endpoint, now: int) -> None:
+        """Take a new entry of the discovery list."""
+        self.zone, self.machine_kind, self.cell, self.weight = (
             entry.zone,
             entry.machine_kind,
             entry.cell,
@@ -524,25 +554,28 @@
         )
         self.labels = entry.labels
         self.is_ready = entry.readiness is Readiness.READY
-        # What drains may be back in a moment, as where a check flaps: it is known until it is gone.
-        self.listed = entry.readiness is not Readiness.REMOVED
-        if entry.started_us != self.launched:  # a new process under a known id: what we knew is void
-            self.launched = entry.started_us
+        # A draining endpoint may return at once, as with a flapping health check: it is known until removed.
+        self.is_listed = entry.readiness is not Readiness.REMOVED
+        if entry.started_us != self.started_at:  # a new process under a known id: what was learned is void
+            self.started_at = entry.started_us
             self.cold_tokens, self.cold_tokens_at = -1.0, now
-            self.failing = self.slow = 0.0
-            self.ejected_until = self.ejections = 0
+            self.failure_rate = self.relative_latency = 0.0
+            self.ejected_until = self.ejection_count = 0
             self.load_weight, self.peer_factor = LoadWeight(), 1.0
 
 
 class Subset:
-    """The random subset of one pool: an even block of a random order that all copies share."""
+    """The random subset of one pool: a block of a random order that all instances share."""
 
     def __init__(self) -> None:
         self.members: list[EndpointState] = []
 
-    def fill(self, endpoints: list[EndpointState], rank: int, balancers: int, size: int) -> None:
-        """Blocks that start at even distances load all endpoints alike, where free picks would leave gaps."""
-        endpoints.sort(key=lambda e: (e.order, e.id))
+    def draw(self, endpoints: list[EndpointState], rank: int, balancers: int, size: int) -> None:
+        """Choose the members.
+
+        Blocks at even offsets load all endpoints alike, where independent choices would leave gaps.
+        """
+        endpoints.sort(key=lambda e: (e.sort_key, e.id))
         n = len(endpoints)
         if size >= n:
             self.members = endpoints
@@ -551,149 +584,161 @@
         self.members = [endpoints[(start + i) % n] for i in range(size)]
 
 
-class TryTime:
-    """The time left that most calls of one class come with: how long a try lasts. Others tell their age."""
+class ClientTimeout:
+    """The timeout that most clients of one class use; requests with less time left are taken for retries."""
 
     def __init__(self) -> None:
-        self.usual = 0
+        self.usual_us = 0
         self.votes = 0
 
-    def age(self, left: int, deadline: int) -> int:
-        """How long ago the client first asked, as far as the time left tells."""
-        if abs(left - self.usual) * 100 <= deadline:
-            self.votes = min(self.votes + 1, TRY_VOTES)
+    def age(self, time_left_us: int, deadline_us: int) -> int:
+        """Return how long ago the client sent the first try, as far as the time left shows it."""
+        if abs(time_left_us - self.usual_us) * 100 <= deadline_us:
+            self.votes = min(self.votes + 1, TIMEOUT_VOTES)
             return 0
         self.votes -= 1
         if self.votes < 0:
-            self.usual, self.votes = left, 0
+            self.usual_us, self.votes = time_left_us, 0
             return 0
-        return max(0, deadline - left)
+        return max(0, deadline_us - time_left_us)
 
 
 class Call:
-    """One request that this instance owes an answer for, or has attempts out for."""
+    """One request that this instance owes an answer for, or has attempts outstanding for."""
 
     __slots__ = (
-        "answered", "arrived", "attempts", "bucket", "due", "first_run", "held_until", "id", "level",
-        "outstanding", "paid", "price", "request_class",
+        "answered", "arrived_at", "attempts", "bucket", "earliest_possible_run", "id", "outstanding",
+        "paid_ru", "price_ru", "priority", "queued_until", "request_class", "useful_until",
     )  # fmt: skip
 
     def __init__(
         self,
         call: str,
-        grade: RequestClass,
+        request_class: RequestClass,
         now: int,
-        due: int,
+        useful_until: int,
         bucket: TokenBuckets.Bucket,
     ) -> None:
         self.id = call
-        self.request_class = grade
-        self.arrived = now
-        self.due = due  # until when an answer is worth something: the end of the try, or the aim before it
-        self.attempts: list[tuple[EndpointState, int, Pool, int]] = []
-        self.outstanding: set[int] = set()
-        self.first_run: tuple[int, str, int] | None = None  # earliest attempt known to may have run
+        self.request_class = request_class
+        self.arrived_at = now
+        self.useful_until = useful_until  # end of the client's timeout, or of the objective before it
+        self.attempts: list[tuple[EndpointState, int, Pool, int]] = []  # endpoint, sent at, pool, idle bucket
+        self.outstanding: set[int] = set()  # indexes of attempts
+        self.earliest_possible_run: tuple[int, str, int] | None = None  # see `may_resend`
         self.answered = False
-        self.held_until = 0  # 0: not held
-        self.level = 0
-        self.price = self.paid = 0.0
+        self.queued_until = 0  # 0: not queued
+        self.priority = 0  # 0 is the highest
+        self.price_ru = self.paid_ru = 0.0
         self.bucket = bucket
 
 
-class HoldQueue:
-    """Calls past the cap, best worth first; long sojourn there refuses arrivals."""
+class AdmissionQueue:
+    """Calls past the cap, by priority; a long sojourn in the queue refuses arrivals."""
 
-    def __init__(self, levels: int) -> None:
-        self.levels: list[deque[Call]] = [deque() for _ in range(levels)]
-        self.ends: list[tuple[int, int, Call]] = []
-        self.serial = self.count = 0
-        self.long_since = -1
+    def __init__(self, priorities: int) -> None:
+        self.queues: list[deque[Call]] = [deque() for _ in range(priorities)]
+        self.expiries: list[tuple[int, int, Call]] = []  # a heap
+        self.sequence = self.count = 0
+        self.above_target_since = -1
 
     def push(self, call: Call, until: int) -> None:
-        call.held_until = until
-        self.levels[call.level].append(call)
-        self.serial += 1
+        """Queue a call until this time at most."""
+        call.queued_until = until
+        self.queues[call.priority].append(call)
+        self.sequence += 1
         self.count += 1
-        heapq.heappush(self.ends, (until, self.serial, call))
+        heapq.heappush(self.expiries, (until, self.sequence, call))
 
-    def take(self, call: Call) -> None:
-        """The call leaves; its places in the queues are cleared when they come up."""
-        call.held_until = 0
+    def remove(self, call: Call) -> None:
+        """Take a call out; `head` and `next_expired` drop its entries when they reach them."""
+        call.queued_until = 0
         self.count -= 1
         if not self.count:
-            # An empty queue refuses nobody: arrivals refused for its past leave nobody to find it empty.
-            self.long_since = -1
+            # If an emptied queue went on refusing arrivals, no call would be left to end that state.
+            self.above_target_since = -1
 
-    def head(self, level: int) -> Call | None:
-        queue = self.levels[level]
-        while queue and not queue[0].held_until:
+    def head(self, priority: int) -> Call | None:
+        """Return the oldest queued call of this priority."""
+        queue = self.queues[priority]
+        while queue and not queue[0].queued_until:
             queue.popleft()
         return queue[0] if queue else None
 
-    def overdue(self, now: int) -> Call | None:
-        ends = self.ends
-        while ends and not ends[0][2].held_until:
-            heapq.heappop(ends)
-        return ends[0][2] if ends and ends[0][0] <= now else None
-
-    def watch(self, now: int) -> None:
-        """Follow how long the sojourn has stood above its target."""
-        for level in range(len(self.levels)):
-            call = self.head(level)
-            if call is not None and now - call.arrived > SOJOURN_SHARE * call.request_class.objective_us:
-                if self.long_since < 0:
-                    self.long_since = now
+    def next_expired(self, now: int) -> Call | None:
+        """Return a call whose time in the queue is over."""
+        expiries = self.expiries
+        while expiries and not expiries[0][2].queued_until:
+            heapq.heappop(expiries)
+        return expiries[0][2] if expiries and expiries[0][0] <= now else None
+
+    def update_sojourn(self, now: int) -> None:
+        """Record since when the sojourn has been above its target."""
+        for priority in range(len(self.queues)):
+            call = self.head(priority)
+            if call is not None and now - call.arrived_at > SOJOURN_SHARE * call.request_class.objective_us:
+                if self.above_target_since < 0:
+                    self.above_target_since = now
                 return
-        self.long_since = -1
+        self.above_target_since = -1
 
-    def refusing(self, now: int) -> bool:
-        return self.long_since >= 0 and now - self.long_since >= SOJOURN_INTERVAL_US
+    def refuses_arrivals(self, now: int) -> bool:
+        """Return whether the sojourn has been above its target for too long."""
+        return self.above_target_since >= 0 and now - self.above_target_since >= SOJOURN_INTERVAL_US
 
 
 class Pool:
-    """The endpoints of this zone, or of the others: a subset and the cap on calls into it."""
+    """The endpoints of this zone, or of the other zones: a subset and the cap on calls into it."""
 
     def __init__(self, layer: int) -> None:
         self.subset = Subset()
         self.limit = ConcurrencyLimit(layer)
-        self.sent = 0  # in this refill window
-        self.counted_at = 0  # when the part of its endpoints in use was last counted
-        self.rate = 0.0  # calls sent a second; falls slowly, so that slow start does not feed on itself
+        self.sent_in_window = 0  # attempts in this refill window
+        self.usage_read_at = 0  # when the usable and live fractions were last computed
+        self.send_rate = 0.0  # attempts a second; falls slowly, so that slow start does not feed on itself
 
-    def turn(self) -> None:
-        rate = self.sent * 1e6 / REFILL_WINDOW_US
-        self.rate += (RATE_RISE if rate > self.rate else RATE_FALL) * (rate - self.rate)
-        self.limit.fair = max(self.limit.listed, FAIR_KEPT * self.limit.fair)
-        self.sent = 0
+    def finish_window(self) -> None:
+        """Update the rates at the end of a refill window."""
+        rate = self.sent_in_window * 1e6 / REFILL_WINDOW_US
+        self.send_rate += (RISE_WEIGHT if rate > self.send_rate else FALL_WEIGHT) * (rate - self.send_rate)
+        self.limit.lagged_share = max(self.limit.endpoint_share, SHARE_KEPT * self.limit.lagged_share)
+        self.sent_in_window = 0
 
 
 class CandidateSet:
-    """The endpoints that the classes of one constraint may use: a pool in this zone and one in the others.
+    """The endpoints that classes with one constraint may use: a pool in this zone and one in the others.
 
-    Rule 5: subsets are drawn from the allowed endpoints alone, and every send draws from such a subset.
-    Filtering a subset drawn from all could leave none, or the same few to all copies.
+    Subsets are drawn from the allowed endpoints alone, and every attempt draws from such a subset. Filtering
+    a subset that was drawn from all endpoints could leave none, or the same few to all instances.
     """
 
-    def __init__(self, grade: RequestClass, layer: int) -> None:
-        self.constraint = (grade.allowed_zones, grade.allowed_machine_kinds, grade.labels)
-        self.zones = grade.allowed_zones
-        self.kinds = grade.allowed_machine_kinds
-        self.labels = grade.labels
+    def __init__(self, request_class: RequestClass, layer: int) -> None:
+        self.constraint = (
+            request_class.allowed_zones,
+            request_class.allowed_machine_kinds,
+            request_class.labels,
+        )
+        self.zones = request_class.allowed_zones
+        self.machine_kinds = request_class.allowed_machine_kinds
+        self.labels = request_class.labels
         self.local, self.remote = Pool(layer), Pool(layer)
         self.pools = (self.local, self.remote)
-        self.size = 0  # endpoints that are open to it and ready
-        self.beyond = 0.0  # of this copy's part of them, what its own zone does not hold
-        self.sent = 0.0  # work sent lately, of all its classes
-        self.spare: dict[str, float] = {}  # the part of an even share left by narrower classes, where below 1
-
-    def allows(self, e: EndpointState) -> bool:
-        if not self.labels <= e.labels:
+        self.size = 0  # allowed endpoints that are ready
+        self.remote_share = 0.0  # of this instance's share of them, the part that its zone does not hold
+        self.sent_ru = 0.0  # sent recently, by all its classes
+        self.spare_shares: dict[str, float] = {}  # of an even share, left by narrower classes, where below 1
+
+    def allows(self, endpoint: EndpointState) -> bool:
+        """Return whether the endpoint meets the constraint."""
+        if not self.labels <= endpoint.labels:
             return False
-        return (self.zones is None or e.zone in self.zones) and (self.kinds is None or e.kind in self.kinds)
+        return (self.zones is None or endpoint.zone in self.zones) and (
+            self.machine_kinds is None or endpoint.machine_kind in self.machine_kinds
+        )
 
 
 class Balancer:
-    """The decisions of one sidecar instance."""
+    """The decisions of one sidecar instance; its public methods are the events of `eiderhub.interface`."""
 
     def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:
         self.settings = settings
@@ -702,168 +747,180 @@
         whole = [c for c in settings.classes if not c.variant_of]
         best = max(c.worth for c in whole) or 1.0
         worths = {
-            (c.name, over): c.worth / best * (settings.over_share_worth if over else 1.0)
+            (c.name, over_share): c.worth / best * (settings.over_share_worth if over_share else 1.0)
             for c in whole
-            for over in (False, True)
+            for over_share in (False, True)
         }
         goal = settings.goal
-        even = goal.class_weight / (goal.class_weight + goal.worth_weight or 1.0)
-        # What a served call is worth to the goal, where the cheapest class may count as much as the best.
+        by_class = goal.class_weight / (goal.class_weight + goal.worth_weight or 1.0)
+        # The worth of a served call to the goal, which may count the cheapest class as much as the best.
         for k in worths:
-            worths[k] = (1 - even) * worths[k] + even * (settings.over_share_worth if k[1] else 1.0)
-        ranked = sorted(worths, key=lambda k: (-worths[k], k))
-        self.level = {k: i for i, k in enumerate(ranked)}
-        self.worth = [worths[k] for k in ranked]
-        self.copying = settings.limits.hedging and settings.layer == 0
-        self.handshake = min(1.0, HANDSHAKE_CALLS * settings.prices.handshake)
-        self.link_kept_us = int(LINK_KEPT * settings.limits.conn_idle_us)
+            worths[k] = (1 - by_class) * worths[k] + by_class * (settings.over_share_worth if k[1] else 1.0)
+        ranked = sorted(worths, key=lambda key: (-worths[key], key))
+        self.priority = {key: i for i, key in enumerate(ranked)}  # by class name and whether over the share
+        self.worth = [worths[key] for key in ranked]  # by priority; 1 is the best class
+        self.may_hedge = settings.limits.hedging and settings.layer == 0
+        self.handshake = min(1.0, HANDSHAKE_CALLS * settings.prices.handshake)  # in calls in flight
+        self.connection_kept_us = int(CONNECTION_KEPT_SHARE * settings.limits.conn_idle_us)
         self.started = False
 
-    # --- life ---
+    # --- lifecycle and discovery ---
 
     def start(self, now_us: int, has_cached_list: bool = False) -> None:
-        s = self.settings
+        """Initialize the state and begin to follow discovery."""
+        settings = self.settings
         self.started = True
         self.endpoints: dict[str, EndpointState] = {}
         self.calls: dict[str, Call] = {}
-        self.buckets = TokenBuckets(s, self.random.randrange(REFILL_WINDOW_US), now_us)
+        self.buckets = TokenBuckets(settings, self.random.randrange(REFILL_WINDOW_US), now_us)
         self.ratio = LatencyRatio(now_us)
-        self.queue = HoldQueue(len(self.worth))
-        self.retries = RetryBudget()
-        self.idle = IdleConnections(s.limits.conn_idle_us)
+        self.queue = AdmissionQueue(len(self.worth))
+        self.retry_budget = RetryBudget()
+        self.idle_connections = IdleConnections(settings.limits.conn_idle_us)
         self.classes: dict[str, RequestClass] = {}
-        self.tries: dict[str, TryTime] = {}
+        self.client_timeouts: dict[str, ClientTimeout] = {}
         self.candidates: dict[str, CandidateSet] = {}
-        self._use(s.classes)
+        self._set_classes(settings.classes)
         self.ejected: list[EndpointState] = []
         self.ready_count = 0
-        self.fleet_failing = self.fleet_latency = 0.0
-        self.scarcity = 0.0  # share of late arrivals within their share that found no room at once
+        self.mean_failure_rate = self.mean_latency = 0.0
+        self.saturation = 0.0  # fraction of recent arrivals, within their share, not sent at once
         self.sweep_at = -1
-        self.pending_hedges: deque[tuple[int, Call]] = deque()  # when a second copy of the call falls due
-        self.poll_backoff_us = ASK_BACKOFF_US
-        self.asking = False
-        if s.discovery is Discovery.POLL:
-            # Guards against hundreds that start together: half of them would be turned away, and ask again.
-            spread = min(ASK_SPREAD_US * (s.balancers - 1), ASK_SPREAD_MAX_US) if has_cached_list else 0
-            self.asking = spread > 0
+        self.pending_hedges: deque[tuple[int, Call]] = deque()  # due time and call
+        self.poll_backoff_us = POLL_BACKOFF_US
+        self.poll_scheduled = False
+        if settings.discovery is Discovery.POLL:
+            # If hundreds of instances polled at the same moment, discovery would reject half of the polls,
+            # which would then be repeated.
+            spread = min(SPREAD_US * (settings.balancers - 1), MAX_SPREAD_US) if has_cached_list else 0
+            self.poll_scheduled = spread > 0
             if spread:
-                self.actions.timer(int(spread * self.random.random()), ASK)
+                self.actions.timer(int(spread * self.random.random()), POLL_TIMER)
             else:
                 self.actions.tail(True)
 
-    def _use(self, classes: Sequence[RequestClass]) -> None:
-        """Know these classes and no others; what was learned for the endpoints of one constraint is kept."""
-        known = {p.constraint: p for p in self.candidates.values()}
+    def _set_classes(self, classes: Sequence[RequestClass]) -> None:
+        """Replace the classes; what was learned for the candidates of a constraint that remains is kept."""
+        known = {s.constraint: s for s in self.candidates.values()}
         self.classes = {c.name: c for c in classes}
-        self.tries = {c.name: self.tries.get(c.name) or TryTime() for c in classes}
+        self.client_timeouts = {c.name: self.client_timeouts.get(c.name) or ClientTimeout() for c in classes}
         self.candidates = {}
         for c in classes:
             new = CandidateSet(c, self.settings.layer)
             self.candidates[c.name] = known.setdefault(new.constraint, new)
         self.candidate_sets = list(dict.fromkeys(self.candidates.values()))
-        self.level.update(
-            ((c.name, over), self.level[c.variant_of, over])
+        self.priority.update(
+            ((c.name, over), self.priority[c.variant_of, over])
             for c in classes
             if c.variant_of
             for over in (False, True)
-        )  # fmt: skip
+        )
 
     def adopt(self, now_us: int, classes: Sequence[RequestClass]) -> None:
-        """Variants come and go while calls are out: those still in use stay until a later change."""
+        """Replace the variants of the classes; those that open calls use stay until a later change."""
         in_use = {c.request_class.name: c.request_class for c in self.calls.values()}
         whole = [c for c in self.classes.values() if not c.variant_of]
         variants = {c.name: c for c in (*in_use.values(), *classes) if c.variant_of}
-        self._use([*whole, *variants.values()])
-        self._fill_pools()
+        self._set_classes([*whole, *variants.values()])
+        self._draw_subsets()
         if self.queue.count:
-            self._dispatch(now_us)
+            self._send_queued(now_us)
 
     def discovery(self, now_us: int, form: ListForm, entries: Sequence[Endpoint]) -> None:
+        """Update the endpoints from discovery, or schedule the next poll after a failed one."""
         if form is ListForm.FAILED:
-            if self.settings.discovery is Discovery.POLL and not self.asking:
-                # Guards against all copies asking again in step after discovery has turned them away.
-                self.asking = True
-                self.actions.timer(int(self.poll_backoff_us * (0.5 + self.random.random())), ASK)
-                # Rule 3: four times that long after a failed call its list counts as told anew.
+            if self.settings.discovery is Discovery.POLL and not self.poll_scheduled:
+                # Jittered, or all instances that discovery has rejected would poll again in step.
+                self.poll_scheduled = True
+                self.actions.timer(int(self.poll_backoff_us * (0.5 + self.random.random())), POLL_TIMER)
+                # At most the poll interval: four of these after a failed poll the instance counts as notified
+                # of the present list, and nothing new may be sent to endpoints that drain in it.
                 self.poll_backoff_us = min(
-                    2 * self.poll_backoff_us, ASK_BACKOFF_MAX_US, self.settings.rules.poll_interval_us
+                    2 * self.poll_backoff_us, MAX_POLL_BACKOFF_US, self.settings.rules.poll_interval_us
                 )
             return
         if form is not ListForm.CACHED:
-            self.poll_backoff_us = ASK_BACKOFF_US
+            self.poll_backoff_us = POLL_BACKOFF_US
         if form is not ListForm.DELTA:
             listed = {e.id for e in entries}
             for known in self.endpoints.values():
                 if known.id not in listed:
-                    known.is_ready = known.listed = False
+                    known.is_ready = known.is_listed = False
         for entry in entries:
             state = self.endpoints.get(entry.id)
             if state is None:
                 self.endpoints[entry.id] = EndpointState(entry, now_us)
             else:
-                state.take(entry, now_us)
-        # Guards against ids that are ever new: what has left is forgotten once nothing of it is out.
-        for left in [e for e in self.endpoints.values() if not e.listed and not e.in_flight]:
-            del self.endpoints[left.id]
-        self._fill_pools()
+                state.update(entry, now_us)
+        # Removed endpoints are dropped once idle: where each process gets a new id, they would pile up.
+        for removed in [e for e in self.endpoints.values() if not e.is_listed and not e.in_flight]:
+            del self.endpoints[removed.id]
+        self._draw_subsets()
         if self.queue.count:
-            self._dispatch(now_us)
+            self._send_queued(now_us)
 
-    def _fill_pools(self) -> None:
-        s = self.settings
+    def _draw_subsets(self) -> None:
+        """Draw the subset of each pool from the ready endpoints and set its limit's share of them."""
+        settings = self.settings
         ready = [e for e in self.endpoints.values() if e.is_ready]
         self.ready_count = len(ready)
-        for placement in self.candidate_sets:
-            allowed = [e for e in ready if placement.allows(e)]
-            near = [e for e in allowed if e.zone == s.zone]
-            far = [e for e in allowed if e.zone != s.zone]
-            placement.size = len(allowed)
-            # Copies are spread over the zones about as endpoints are; other zones have their own to carry.
-            # Danger: of few copies one may have more than its zone holds, and would crowd it with that.
-            fair = len(allowed) / s.balancers
-            here = min(fair, len(near))
-            placement.beyond = fair - here
-            for pool, members, part in (
-                (placement.local, near, here),
-                (placement.remote, far, max(REMOTE_PART * fair, placement.beyond)),
+        for candidates in self.candidate_sets:
+            allowed = [e for e in ready if candidates.allows(e)]
+            near = [e for e in allowed if e.zone == settings.zone]
+            far = [e for e in allowed if e.zone != settings.zone]
+            candidates.size = len(allowed)
+            # Instances are spread over the zones about as endpoints are, and other zones have their own. Of a
+            # few instances one may have a larger share than its zone holds, and would crowd the zone with it.
+            even_share = len(allowed) / settings.balancers
+            local_share = min(even_share, len(near))
+            candidates.remote_share = even_share - local_share
+            for pool, members, share in (
+                (candidates.local, near, local_share),
+                (candidates.remote, far, max(REMOTE_ZONE_SHARE * even_share, candidates.remote_share)),
             ):
-                pool.limit.size(part)
-                pool.counted_at = 0
-                size = max(SUBSET_MIN, int(SUBSET_PER_CALL * pool.limit.endpoint_cap * pool.limit.fair))
-                pool.subset.fill(members, s.rank, s.balancers, size)
-        self._recount()
+                pool.limit.set_endpoint_share(share)
+                pool.usage_read_at = 0
+                size = max(
+                    MIN_SUBSET_SIZE,
+                    int(SUBSET_SIZE_PER_CALL * pool.limit.endpoint_cap * pool.limit.lagged_share),
+                )
+                pool.subset.draw(members, settings.rank, settings.balancers, size)
+        self._recount_in_flight()
 
-    def _share_out(self) -> None:
-        """Note what was sent, and leave to a bound class the endpoints that it fills.
+    def _finish_window(self) -> None:
+        """Update rates, and leave the endpoints that a constrained class fills to that class.
 
-        Danger: classes free to go anywhere crowd the few endpoints of a bound class while others have room.
+        Unconstrained classes would otherwise crowd the few endpoints of a constrained class while others have
+        spare capacity.
         """
-        for placement in self.candidate_sets:
-            for pool in placement.pools:
-                pool.turn()
-                pool.limit.busy = mean_busy([e.load_weight for e in pool.subset.members])
+        for candidates in self.candidate_sets:
+            for pool in candidates.pools:
+                pool.finish_window()
+                pool.limit.mean_busy = mean_busy([e.load_weight for e in pool.subset.members])
         if len(self.candidate_sets) < 2:
             return
-        level = sum(p.sent for p in self.candidate_sets) / max(1, *(p.size for p in self.candidate_sets))
+        even_ru = sum(s.sent_ru for s in self.candidate_sets) / max(1, *(s.size for s in self.candidate_sets))
         for wide in self.candidate_sets:
-            wide.spare = {}
+            wide.spare_shares = {}
             for narrow in self.candidate_sets:
-                if level and 0 < narrow.size < wide.size:
-                    left = max(LEAST_SPARE, 1.0 - narrow.sent / narrow.size / level)
-                    wide.spare.update((e.id, left) for e in self.endpoints.values() if narrow.allows(e))
-        for p in self.candidate_sets:
-            p.sent *= SENT_DECAY
+                if even_ru and 0 < narrow.size < wide.size:
+                    spare = max(MIN_SPARE_SHARE, 1.0 - narrow.sent_ru / narrow.size / even_ru)
+                    wide.spare_shares.update(
+                        (known.id, spare) for known in self.endpoints.values() if narrow.allows(known)
+                    )
+        for s in self.candidate_sets:
+            s.sent_ru *= SENT_RU_KEPT
 
     def wake(self, now_us: int, mark: str) -> None:
-        if mark == ASK:
-            self.asking = False
+        """Handle a timer."""
+        if mark == POLL_TIMER:
+            self.poll_scheduled = False
             self.actions.tail(True)
-        elif mark == SWEEP and now_us >= self.sweep_at >= 0:
+        elif mark == SWEEP_TIMER and now_us >= self.sweep_at >= 0:
             self.sweep_at = -1
             self._sweep(now_us)
 
-    # --- requests ---
+    # --- admission and queueing ---
 
     def order(
         self,
@@ -874,341 +931,375 @@
         expires_in_us: int,
         hint_us: int | None,
     ) -> None:
+        """Admit a request: send, queue or refuse it.
+
+        Raises RuntimeError before `start`, and for the id of a request that is still open.
+        """
         if not self.started:
             raise RuntimeError("order before start")
         if call in self.calls:
-            raise RuntimeError(f"request {call} is here already")
+            raise RuntimeError(f"a request with the id {call} is open already")
         buckets = self.buckets
         if now_us >= buckets.next_refill:
             buckets.refill(now_us)
-            self._share_out()
+            self._finish_window()
         bucket = buckets.bucket_for(tenant or "")
         new = self.calls[call] = Call(call, self.classes[class_name], now_us, now_us + expires_in_us, bucket)
         bucket.last_seen_at = now_us
         stress = self.ratio.stress()
-        worth = self.worth[self.level[class_name, False]]
-        price = BASE_COST_RU + HINT_RU_PER_US * (hint_us or 0)
-        new.price = price
-        inflated = price * (1 + PENALTY * stress * (1 - worth))
-        # Danger: where the settings name no tenants all calls are of one, with nobody's share to pass.
-        over = bucket.tokens < inflated and bool(self.settings.tenants)
-        new.level = self.level[class_name, over]
+        worth = self.worth[self.priority[class_name, False]]
+        price_ru = BASE_COST_RU + HINT_RU_PER_US * (hint_us or 0)
+        new.price_ru = price_ru
+        stressed_price_ru = price_ru * (1 + STRESS_PRICE_FACTOR * stress * (1 - worth))
+        # Without tenants in the settings all calls belong to one, which has no share to exceed.
+        over_share = bucket.tokens < stressed_price_ru and bool(self.settings.tenants)
+        new.priority = self.priority[class_name, over_share]
         age = (
-            self.tries[class_name].age(expires_in_us, new.request_class.deadline_us)
+            self.client_timeouts[class_name].age(expires_in_us, new.request_class.deadline_us)
             if not self.settings.layer
             else 0
-        )  # fmt: skip
+        )
         if expires_in_us <= 0:
             self._refuse(new)
             return
         if not new.request_class.late_worth_share:
-            # Guards against repeats that can no longer be worth anything.
-            usual = self.candidates[class_name].local.limit.median_latency * HOPELESS
-            new.due = min(new.due, now_us + new.request_class.objective_us - age)
-            if new.due - now_us <= new.request_class.objective_us * usual:
+            # A retry by the client that can no longer be answered within the objective is not worth sending.
+            usual = self.candidates[class_name].local.limit.median_latency * MIN_TIME_LEFT_SHARE
+            new.useful_until = min(new.useful_until, now_us + new.request_class.objective_us - age)
+            if new.useful_until - now_us <= new.request_class.objective_us * usual:
                 self._refuse(new)
                 return
-        low = self.worth[new.level] < LOW_WORTH
-        outer = self.settings.layer == 0
-        if outer and over and (stress > 0 or self.scarcity > SCARCE):
+        low_priority = self.worth[new.priority] < LOW_PRIORITY_WORTH
+        outermost = self.settings.layer == 0
+        if outermost and over_share and (stress > 0 or self.saturation > SATURATION_THRESHOLD):
             self._refuse(new)
             return
-        if outer and self.queue.refusing(now_us):
+        if outermost and self.queue.refuses_arrivals(now_us):
             self._refuse(new)
             return
-        if not over:
-            bucket.tokens -= inflated
-            new.paid = inflated
-        at_once = (low or not self.queue.count) and self._try_send(now_us, new)
-        if not over:
-            self.scarcity += SCARCITY_WEIGHT * ((not at_once) - self.scarcity)
-        if at_once:
+        if not over_share:
+            bucket.tokens -= stressed_price_ru
+            new.paid_ru = stressed_price_ru
+        sent_at_once = (low_priority or not self.queue.count) and self._try_send(now_us, new)
+        if not over_share:
+            self.saturation += SATURATION_WEIGHT * ((not sent_at_once) - self.saturation)
+        if sent_at_once:
             return
-        if outer and low and (stress > 0 or self.queue.count):
+        if outermost and low_priority and (stress > 0 or self.queue.count):
             self._refuse(new)
             return
-        self._hold(now_us, new)
+        self._enqueue(now_us, new)
 
-    def _hold(self, now: int, call: Call) -> None:
-        share = HOLD_SHARE_INSIDE if self.settings.layer else HOLD_SHARE
-        until = min(now + int(share * call.request_class.objective_us), call.due - ANSWER_MARGIN_US)
+    def _enqueue(self, now: int, call: Call) -> None:
+        """Queue a call for a share of its objective, or refuse it if there is no time for that."""
+        share = QUEUE_TIME_SHARE_INNER if self.settings.layer else QUEUE_TIME_SHARE
+        until = min(now + int(share * call.request_class.objective_us), call.useful_until - ANSWER_MARGIN_US)
         if until <= now:
             self._refuse(call)
             return
         self.queue.push(call, until)
-        self._sweep_later(now)
+        self._schedule_sweep(now)
 
-    def _sweep_later(self, now: int) -> None:
+    def _schedule_sweep(self, now: int) -> None:
+        """Set the timer of the next sweep, unless it is set."""
         if self.sweep_at < 0:
-            self.sweep_at = now + SWEEP_US
-            self.actions.timer(SWEEP_US, SWEEP)
+            self.sweep_at = now + SWEEP_INTERVAL_US
+            self.actions.timer(SWEEP_INTERVAL_US, SWEEP_TIMER)
 
     def _sweep(self, now: int) -> None:
+        """Send queued calls, refuse those whose time in the queue is over, and send due hedges."""
         queue = self.queue
-        self._dispatch(now)
-        while (call := queue.overdue(now)) is not None:
-            queue.take(call)
+        self._send_queued(now)
+        while (call := queue.next_expired(now)) is not None:
+            queue.remove(call)
             self._refuse(call)
-        queue.watch(now)
+        queue.update_sojourn(now)
         while self.pending_hedges and self.pending_hedges[0][0] <= now:
-            self._copy(now, self.pending_hedges.popleft()[1])
+            self._hedge(now, self.pending_hedges.popleft()[1])
         while self.pending_hedges and self.pending_hedges[0][1].answered:
             self.pending_hedges.popleft()
         if queue.count or self.pending_hedges:
-            self._sweep_later(now)
+            self._schedule_sweep(now)
 
-    def _copy(self, now: int, call: Call) -> None:
-        """Send a second copy: answers an endpoint that pauses or hangs under a call that is safe to repeat.
+    def _hedge(self, now: int, call: Call) -> None:
+        """Send a second attempt of an idempotent call, against an endpoint that pauses or hangs.
 
-        Acts only while nothing is scarce: no stress, nobody held, room under the cap, retries left.
+        It is sent only while nothing is scarce: no stress, no queue, capacity under the cap, retries left.
         """
         if (
             call.answered
-            or len(call.attempts) != 1
+            or len(call.attempts) != 1  # it has been hedged or retried
             or not call.outstanding
             or call.request_class.max_attempts == 1
-        ):  # fmt: skip
+        ):
             return
-        if self.ratio.stress() > 0 or self.queue.count or self.retries.tokens < 1.0:
+        if self.ratio.stress() > 0 or self.queue.count or self.retry_budget.tokens < 1.0:
             return
         if self._try_send(now, call):
-            self.retries.spend()
+            self.retry_budget.spend()
 
-    def _dispatch(self, now: int) -> None:
-        """Send held calls while there is room, best worth first."""
+    def _send_queued(self, now: int) -> None:
+        """Send queued calls while there is capacity, the most valuable first."""
         queue = self.queue
-        queue.watch(now)
-        for level in range(len(queue.levels)):
-            while (call := queue.head(level)) is not None:
+        queue.update_sojourn(now)
+        for priority in range(len(queue.queues)):
+            while (call := queue.head(priority)) is not None:
                 if not self._try_send(now, call):
                     break
-                queue.take(call)
+                queue.remove(call)
 
     def _refuse(self, call: Call) -> None:
-        """Final answer without a result: `shed` where that is legal."""
+        """Give the final answer without a result: `shed` where a retry is harmless, else `surrender`."""
         if may_refuse(
             call.request_class.effect,
             call.request_class.dedup_scope,
-            call.first_run is not None or bool(call.outstanding),
+            call.earliest_possible_run is not None or bool(call.outstanding),
         ):
             wait = 0
             limits = self.settings.limits
             if limits.may_send_retry_after:
-                # Drawn anew for each: clients told the same wait would come back together.
+                # Drawn anew for each call: clients that were given the same wait would return together.
                 wait = int(limits.max_retry_after_us * RETRY_AFTER_SHARE * (1 + self.random.random()))
             self.actions.shed(call.id, wait)
         else:
             self.actions.surrender(call.id)
-        self._answered(call)
+        self._mark_answered(call)
 
-    def _answered(self, call: Call) -> None:
+    def _mark_answered(self, call: Call) -> None:
+        """Note the final answer, and forget the call once no attempt of it is outstanding."""
         call.answered = True
         if not call.outstanding:
             del self.calls[call.id]
 
-    def _call_off(self, call: Call) -> None:
-        """Cancel what nobody waits for any more: some endpoints stop such work."""
+    def _cancel_outstanding(self, call: Call) -> None:
+        """Cancel attempts whose answer is not needed any more: some endpoints stop such work."""
         if self.settings.limits.may_cancel:
             for attempt in sorted(call.outstanding):
                 self.actions.cancel(call.id, attempt)
 
+    # --- choice of an endpoint ---
+
     def _try_send(self, now: int, call: Call) -> bool:
-        worth = self.worth[call.level]
-        barren = True  # whether this zone has no endpoint that could take the call, however long it waits
-        placement = self.candidates[call.request_class.name]
-        share = 1.0 if worth >= LOW_WORTH else LOW_TIER_SHARE
-        for pool in placement.pools:
+        """Send the call if a pool has capacity and an endpoint for it; return whether it was sent."""
+        worth = self.worth[call.priority]
+        zone_is_exhausted = True  # no endpoint of this zone could take the call, however long it waits
+        candidates = self.candidates[call.request_class.name]
+        cap_share = 1.0 if worth >= LOW_PRIORITY_WORTH else LOW_PRIORITY_CAP_SHARE
+        for pool in candidates.pools:
             if not pool.subset.members:
                 continue
             limit = pool.limit
-            self._count_in_use(now, pool)
-            if pool is placement.remote and placement.local.subset.members:  # it carries what was lost here
-                lost = 1.0 - placement.local.limit.open
-                here, beyond = placement.local.limit.fair, placement.beyond
-                limit.listed = limit.fair = max(REMOTE_PART * (here + beyond), lost * here + beyond)
-            if limit.full(now, share * limit.max_in_flight(self.scarcity), self.random):
-                barren = False
+            self._update_usage(now, pool)
+            if pool is candidates.remote and candidates.local.subset.members:
+                # Other zones carry what this zone has lost.
+                lost = 1.0 - candidates.local.limit.usable_fraction
+                local_share, beyond = candidates.local.limit.lagged_share, candidates.remote_share
+                limit.endpoint_share = limit.lagged_share = max(
+                    REMOTE_ZONE_SHARE * (local_share + beyond), lost * local_share + beyond
+                )
+            if limit.is_full(now, cap_share * limit.max_in_flight(self.saturation), self.random):
+                zone_is_exhausted = False
                 continue
-            if pool is placement.remote and not barren and not self._worth_crossing(now, call):
+            if pool is candidates.remote and not zone_is_exhausted and not self._should_spill_over(now, call):
                 return False
-            endpoint = self._pick(now, pool, call)
+            endpoint = self._pick_endpoint(now, pool, call)
             if endpoint is not None:
                 self._send(now, call, endpoint, pool)
                 return True
         return False
 
-    def _worth_crossing(self, now: int, call: Call) -> bool:
-        """Spill to another zone what this one cannot carry; the dearer the crossing, the longer it waits."""
+    def _should_spill_over(self, now: int, call: Call) -> bool:
+        """Return whether a call that this zone has no capacity for goes to another one now.
+
+        The higher the price of the crossing against the call's worth, the longer the call waits before.
+        """
         price = self.settings.prices.cross_zone
-        gain = self.worth[call.level] * SPILL_GAIN
+        gain = self.worth[call.priority] * SPILLOVER_GAIN
         if gain <= price:
             return False
-        # Danger: stress and queue of the one endpoint near refused what may not wait, beside others at rest.
-        if self.candidates[call.request_class.name].beyond > 0:
-            return True  # a part of this copy's own lies there
-        return now - call.arrived >= price / gain * HOLD_SHARE * call.request_class.objective_us
-
-    def _pick(self, now: int, pool: Pool, call: Call) -> EndpointState | None:
-        """The less busy, by own calls in flight, of two random members of the subset."""
+        # Part of this instance's own share lies in other zones. If calls waited for it, those that may not be
+        # queued would be refused over the stress of one near endpoint, beside idle ones.
+        if self.candidates[call.request_class.name].remote_share > 0:
+            return True
+        return now - call.arrived_at >= price / gain * QUEUE_TIME_SHARE * call.request_class.objective_us
+
+    def _pick_endpoint(self, now: int, pool: Pool, call: Call) -> EndpointState | None:
+        """Return the less loaded, by own calls in flight, of two random members of the subset."""
         members = pool.subset.members
         n = len(members)
         best: EndpointState | None = None
         best_load = 0.0
-        tried = call.attempts
-        spare = self.candidates[call.request_class.name].spare
-        drawn = 0
-        # A retry that finds nobody is refused at once: past what chance drew it looks at each that is whole.
-        for at in range(-2 * REDRAWS, n if tried else 0):
-            e = members[at if at >= 0 else int(self.random.random() * n)]
-            if e is best or (tried and any(a[0] is e for a in tried)):
+        previous = call.attempts
+        spare_shares = self.candidates[call.request_class.name].spare_shares
+        found = 0
+        # Random draws come first. A retry that finds no endpoint is refused, so it then tries each member.
+        for index in range(-2 * DRAWS_PER_CANDIDATE, n if previous else 0):
+            endpoint = members[index if index >= 0 else int(self.random.random() * n)]
+            if endpoint is best or (previous and any(a[0] is endpoint for a in previous)):
                 continue
-            warmth = self._warmth(now, e)
-            part = self._traffic_fraction(now, e, warmth) * spare.get(e.id, 1.0)
-            if part < 1.0 and (at >= 0 or self.random.random() >= part):
+            slow_start = self._slow_start_fraction(now, endpoint)
+            fraction = self._traffic_fraction(now, endpoint, slow_start) * spare_shares.get(endpoint.id, 1.0)
+            if fraction < 1.0 and (index >= 0 or self.random.random() >= fraction):
                 continue
-            if warmth < 1.0 and not self._affords(now, e, pool, warmth):
+            if slow_start < 1.0 and not self._has_cold_tokens(now, endpoint, pool, slow_start):
                 continue
-            # Rule 2: it may leave only once a connection has come up.
-            leaves = now + self.settings.limits.connect_timeout_us
-            if call.first_run is not None and not may_resend(
+            # The attempt may be sent as late as its connection comes up.
+            latest_send = now + self.settings.limits.connect_timeout_us
+            if call.earliest_possible_run is not None and not may_resend(
                 call.request_class.effect,
                 call.request_class.dedup_scope,
                 call.request_class.dedup_window_us,
-                call.first_run,
-                leaves,
-                (e.zone, e.cell),
+                call.earliest_possible_run,
+                latest_send,
+                (endpoint.zone, endpoint.cell),
             ):
                 continue
-            dear = self.handshake if self.handshake and not self._linked(now, e) else 0.0
-            # The draw has thinned what is cold: thinned again, one at rest would lose to any that is warm.
-            load = (e.in_flight / warmth + 1 + dear) / (
-                e.weight * part / warmth / e.peer_factor * e.load_weight.factor
-            )  # fmt: skip
-            if e.slow:
-                load *= e.slow
+            handshake = self.handshake if self.handshake and not self._has_connection(now, endpoint) else 0.0
+            # The draw favours warm endpoints already: if their capacity counted again here, an idle cold
+            # endpoint would lose to any warm one.
+            load = (endpoint.in_flight / slow_start + 1 + handshake) / (
+                endpoint.weight * fraction / slow_start / endpoint.peer_factor * endpoint.load_weight.factor
+            )
+            if endpoint.relative_latency:
+                load *= endpoint.relative_latency
             if best is None or load < best_load:
-                best, best_load = e, load
-            drawn += 1
-            if drawn == 2:
+                best, best_load = endpoint, load
+            found += 1
+            if found == 2:
                 break
         return best
 
-    def _linked(self, now: int, e: EndpointState) -> bool:
-        """Whether a connection is likely to be open and free.
+    def _has_connection(self, now: int, endpoint: EndpointState) -> bool:
+        """Return whether a connection is likely to be open and free.
 
-        Danger: where each of many copies sees little, two equal endpoints are drawn all the time of which one
-        has a connection; taking either makes a new connection for one call in five or six.
+        Where each of many instances has little traffic, one of two equal endpoints often has a connection:
+        taking either would make a new connection for one call in five or six.
         """
-        if now - e.peak_at >= self.link_kept_us:
-            e.peak, e.peak_at = max(e.in_flight, int(now - e.used < self.link_kept_us and e.used > 0)), now
-        return e.in_flight < e.peak
+        if now - endpoint.peak_at >= self.connection_kept_us:
+            endpoint.peak_in_flight, endpoint.peak_at = (
+                max(
+                    endpoint.in_flight,
+                    int(now - endpoint.last_used_at < self.connection_kept_us and endpoint.last_used_at > 0),
+                ),
+                now,
+            )
+        return endpoint.in_flight < endpoint.peak_in_flight
 
-    def _traffic_fraction(self, now: int, e: EndpointState, warmth: float) -> float:
-        """The part of a warm peer's calls that this endpoint may have: slow start, ejection and return.
+    def _traffic_fraction(self, now: int, endpoint: EndpointState, slow_start: float) -> float:
+        """Return the fraction of a warm endpoint's calls for this one: slow start, recovery and peer reports.
 
-        Rule 4: a draw that falls on a cold endpoint stands only with the probability of its least capacity,
-        so each copy sends it that part of what its warm endpoints get, and so do all copies together.
+        A draw of a cold endpoint stands only with the probability of its least capacity. So each instance,
+        and all of them together, send it that fraction of what warm endpoints get, and do not overload it.
         """
-        return warmth * self._returned(now, e) * e.peer_factor
+        return slow_start * self._recovery_fraction(now, endpoint) * endpoint.peer_factor
 
-    def _recount(self) -> None:
-        """Count calls in flight anew: the cap is not on those at endpoints that have left."""
-        for placement in self.candidate_sets:
-            placement.local.limit.in_flight = placement.remote.limit.in_flight = 0
+    def _recount_in_flight(self) -> None:
+        """Count calls in flight anew: those at removed or draining endpoints do not count against the cap."""
+        for candidates in self.candidate_sets:
+            candidates.local.limit.in_flight = candidates.remote.limit.in_flight = 0
         for call in self.calls.values():
             for n in call.outstanding:
-                e, _, pool, _ = call.attempts[n]
-                pool.limit.in_flight += e.is_ready
+                endpoint, _, pool, _ = call.attempts[n]
+                pool.limit.in_flight += endpoint.is_ready
 
-    def _returned(self, now: int, e: EndpointState) -> float:
-        """The part of its calls that an endpoint may have while it is ejected, and after."""
-        since = now - e.ejected_until
-        if not e.ejected_until or since >= RETURN_US:
+    def _recovery_fraction(self, now: int, endpoint: EndpointState) -> float:
+        """Return the fraction of its calls that an endpoint may get during an ejection, and after it."""
+        since = now - endpoint.ejected_until
+        if not endpoint.ejected_until or since >= RECOVERY_US:
             return 1.0
-        return 0.0 if since < 0 else RETURN_FROM + (1 - RETURN_FROM) * since / RETURN_US
+        return 0.0 if since < 0 else RECOVERY_START + (1 - RECOVERY_START) * since / RECOVERY_US
 
-    def _count_in_use(self, now: int, pool: Pool) -> None:
-        """Read now and then which part of a pool's endpoints is in use, and which is surely there.
+    def _update_usage(self, now: int, pool: Pool) -> None:
+        """Compute at intervals which fraction of a pool's capacity is usable, and which is live.
 
-        Covers ejection and slow start. Could hurt where sound endpoints are ejected while the rest have
-        capacity to spare. What spoilt answers ejected is out of use, yet it is there.
+        An endpoint ejected for corrupt answers is not usable, yet it is live. Where healthy endpoints are
+        ejected although the rest have spare capacity, the lower cap costs throughput.
         """
-        if now < pool.counted_at + COUNT_EVERY_US:
+        if now < pool.usage_read_at + USAGE_INTERVAL_US:
             return
-        pool.counted_at = now
-        open_ = warm = 0.0
-        for e in pool.subset.members:
-            part = self._warmth(now, e)
-            returned = self._returned(now, e)
-            open_ += part * returned
-            warm += part * (returned if e.unreachable else 1.0)
-        pool.limit.open = open_ / len(pool.subset.members)
-        pool.limit.warm = warm / len(pool.subset.members)
-
-    def _warmth(self, now: int, e: EndpointState) -> float:
-        """The least part of its capacity that the endpoint has, by its stated start."""
+        pool.usage_read_at = now
+        usable = live = 0.0
+        for endpoint in pool.subset.members:
+            capacity = self._slow_start_fraction(now, endpoint)
+            recovery = self._recovery_fraction(now, endpoint)
+            usable += capacity * recovery
+            live += capacity * (recovery if endpoint.is_unreachable else 1.0)
+        pool.limit.usable_fraction = usable / len(pool.subset.members)
+        pool.limit.live_fraction = live / len(pool.subset.members)
+
+    def _slow_start_fraction(self, now: int, endpoint: EndpointState) -> float:
+        """Return the least fraction of its capacity that the endpoint has, by its stated start."""
         rules = self.settings.rules
-        age = now - e.launched
-        if not e.launched or age >= rules.warm_up_us:
+        age = now - endpoint.started_at
+        if not endpoint.started_at or age >= rules.warm_up_us:
             return 1.0
         return rules.cold_capacity_share + (1 - rules.cold_capacity_share) * max(age, 0) / rules.warm_up_us
 
-    def _affords(self, now: int, e: EndpointState, pool: Pool, warmth: float) -> bool:
-        """Whether a cold endpoint has credit left: it earns a part of what those of its pool usually got.
+    def _has_cold_tokens(self, now: int, endpoint: EndpointState, pool: Pool, slow_start: float) -> bool:
+        """Return whether a cold endpoint has a token left; it earns a part of what its pool's members get.
 
-        Danger: where most of a subset is cold there is little else to draw, so that redraws and held calls
-        would send it all the same, from every copy; a burst right after the start may break rule 4. What all
-        have in hand at first is what one endpoint bears in a second; what is earned counts from the
-        hearing of the start, or a copy that draws each endpoint now and then sends none before it is warm.
+        Where most of a subset is cold there is little else to draw, so that repeated draws and queued calls
+        would reach it all the same, from every instance. A burst right after the start may still overload it.
+        The first tokens of all instances are what one endpoint bears in a second. Further ones are earned
+        from the notification of the start on, or an instance that rarely draws each endpoint would send none
+        before it is warm.
         """
-        fair = START_CALLS / self.settings.balancers  # a second, while no rate is known
-        usual = max(pool.rate / len(pool.subset.members), fair)
-        if e.cold_tokens < 0:
-            e.cold_tokens = self.random.random() + fair  # all copies hear of the start at once
-        earned = usual * min(1.0, COLD_USE * self.settings.rules.overload_factor * warmth)
-        e.cold_tokens = min(1.0, e.cold_tokens + earned * (now - e.cold_tokens_at) / 1e6)
-        e.cold_tokens_at = now
-        return e.cold_tokens >= 1.0
-
-    def _send(self, now: int, call: Call, e: EndpointState, pool: Pool) -> None:
+        initial_rate = INITIAL_ENDPOINT_CAP / self.settings.balancers  # a second, while no rate is known
+        usual_rate = max(pool.send_rate / len(pool.subset.members), initial_rate)
+        if endpoint.cold_tokens < 0:
+            # Random, since all instances are notified of the start at once.
+            endpoint.cold_tokens = self.random.random() + initial_rate
+        earned = usual_rate * min(1.0, COLD_CAPACITY_USE * self.settings.rules.overload_factor * slow_start)
+        endpoint.cold_tokens = min(1.0, endpoint.cold_tokens + earned * (now - endpoint.cold_tokens_at) / 1e6)
+        endpoint.cold_tokens_at = now
+        return endpoint.cold_tokens >= 1.0
+
+    def _send(self, now: int, call: Call, endpoint: EndpointState, pool: Pool) -> None:
+        """Send an attempt and record it; the first one of a call may schedule a hedge."""
         call.outstanding.add(len(call.attempts))
         if not call.attempts:
-            self.retries.earn()
-            self.candidates[call.request_class.name].sent += call.price
-            usual = pool.limit.median_latency * call.request_class.objective_us
-            # Only the outermost layer copies: copies inside multiply, and only it sees all stress.
+            self.retry_budget.earn()
+            self.candidates[call.request_class.name].sent_ru += call.price_ru
+            usual_us = pool.limit.median_latency * call.request_class.objective_us
+            # Only the outermost tier hedges: hedges of several tiers would multiply, and only this tier sees
+            # all stress.
             if (
-                usual
-                and self.copying
+                usual_us
+                and self.may_hedge
                 and call.request_class.may_hedge
                 and call.request_class.effect is Effect.IDEMPOTENT
-            ):  # fmt: skip
-                self.pending_hedges.append((now + int(COPY_RISE * usual), call))
-                self._sweep_later(now)
-        step = -1  # unknown: others are out, and which connection comes next is not told
-        if not e.in_flight:
-            step = self.idle.step(now - e.used) if e.used else IDLE_STEPS
-            if self.idle.dead(step, self.random.random()):
-                self.actions.disconnect(e.id)
-                step, e.peak = IDLE_STEPS, 0
-        call.attempts.append((e, now, pool, step))
-        e.used = now
-        e.cold_tokens -= 1.0 if e.cold_tokens >= 1.0 else 0.0
-        pool.sent += 1
-        e.in_flight += 1
-        if e.in_flight >= e.peak:
-            e.peak, e.peak_at = e.in_flight, now
+            ):
+                self.pending_hedges.append((now + int(HEDGE_RISE * usual_us), call))
+                self._schedule_sweep(now)
+        idle_bucket = -1  # unknown, since with other attempts in flight any free connection may be used
+        if not endpoint.in_flight:
+            idle_bucket = (
+                self.idle_connections.bucket_of_idle_time(now - endpoint.last_used_at)
+                if endpoint.last_used_at
+                else IDLE_BUCKETS
+            )
+            if self.idle_connections.should_close(idle_bucket, self.random.random()):
+                self.actions.disconnect(endpoint.id)
+                idle_bucket, endpoint.peak_in_flight = IDLE_BUCKETS, 0
+        call.attempts.append((endpoint, now, pool, idle_bucket))
+        endpoint.last_used_at = now
+        endpoint.cold_tokens -= 1.0 if endpoint.cold_tokens >= 1.0 else 0.0
+        pool.sent_in_window += 1
+        endpoint.in_flight += 1
+        if endpoint.in_flight >= endpoint.peak_in_flight:
+            endpoint.peak_in_flight, endpoint.peak_at = endpoint.in_flight, now
         pool.limit.in_flight += 1
-        # Guards against work that goes on when its answer can no longer be worth anything.
+        # The attempt's timeout stops work whose answer would come too late to be worth anything.
         self.actions.hand_off(
             call.id,
-            e.id,
-            0 if call.request_class.late_worth_share else max(1, call.due - now),
+            endpoint.id,
+            0 if call.request_class.late_worth_share else max(1, call.useful_until - now),
         )
 
     # --- outcomes ---
 
     def streaming(self, now_us: int, call: str, attempt: int) -> None:
+        """Note that the answer has begun: the client receives it from this attempt."""
         found = self.calls.get(call)
         if found is not None:
             found.answered = True
@@ -1224,126 +1315,152 @@
         outcome: Outcome,
         load: LoadReport | None = None,
     ) -> None:
+        """Take the end of an attempt: learn from it, and retry or refuse the call where it is still open."""
         found = self.calls.get(call)
         if found is None or attempt not in found.outstanding:
             return
         found.outstanding.discard(attempt)
-        e, sent, pool, step = found.attempts[attempt]
-        if e.in_flight == e.peak:
-            e.peak_at = now_us  # until now as many were at work, and then rest
-        if outcome in UNLINKED:
-            e.peak -= 1
-        e.in_flight -= 1
+        state, sent_at, pool, idle_bucket = found.attempts[attempt]
+        if state.in_flight == state.peak_in_flight:
+            state.peak_at = now_us  # the last moment at which all these connections were in use
+        if outcome in CONNECTION_LOST:
+            state.peak_in_flight -= 1
+        state.in_flight -= 1
         if load is not None:
-            # Danger: what is cold reports idle cores since it gets less; its part would climb.
-            warm = self._warmth(now_us, e) == 1.0
-            e.load_weight.record(load.busy_share, pool.limit.busy if warm else None)
-        if not e.listed and not e.in_flight and self.endpoints.get(e.id) is e:
-            del self.endpoints[e.id]
-        e.used = now_us
-        if e.is_ready:
+            # A cold endpoint reports idle cores since it gets fewer calls: its weight would climb.
+            is_warm = self._slow_start_fraction(now_us, state) == 1.0
+            state.load_weight.record(load.busy_share, pool.limit.mean_busy if is_warm else None)
+        if not state.is_listed and not state.in_flight and self.endpoints.get(state.id) is state:
+            del self.endpoints[state.id]
+        state.last_used_at = now_us
+        if state.is_ready:
             pool.limit.in_flight -= 1
-        if step >= 0 and outcome not in NEVER_RAN:
-            silent = outcome in UNANSWERED
-            long = spent_us > SILENT_RISE * pool.limit.median_latency * found.request_class.objective_us > 0
-            if not silent or long or outcome is Outcome.RESET:
-                self.idle.learn(step, silent)
-        self._judge(now_us, found, e, pool, sent, spent_us, outcome)
-        if outcome not in NEVER_RAN and (found.first_run is None or sent < found.first_run[0]):
-            found.first_run = (sent, e.zone, e.cell)
+        if idle_bucket >= 0 and outcome not in NEVER_RAN:
+            unanswered = outcome in UNANSWERED
+            late = spent_us > OVERDUE_RISE * pool.limit.median_latency * found.request_class.objective_us > 0
+            if not unanswered or late or outcome is Outcome.RESET:
+                self.idle_connections.record_outcome(idle_bucket, unanswered)
+        self._learn(now_us, found, state, pool, sent_at, spent_us, outcome)
+        if outcome not in NEVER_RAN and (
+            found.earliest_possible_run is None or sent_at < found.earliest_possible_run[0]
+        ):
+            found.earliest_possible_run = (sent_at, state.zone, state.cell)
         if found.answered or closed:
-            self._answered(found)
-            self._call_off(found)
+            self._mark_answered(found)
+            self._cancel_outstanding(found)
         elif not found.outstanding:
-            self._again(now_us, found, outcome)
+            self._retry_or_refuse(now_us, found, outcome)
         if self.queue.count:
-            self._dispatch(now_us)
+            self._send_queued(now_us)
 
-    def _judge(
-        self, now: int, call: Call, e: EndpointState, pool: Pool, sent: int, spent: int, outcome: Outcome
+    def _learn(
+        self,
+        now: int,
+        call: Call,
+        endpoint: EndpointState,
+        pool: Pool,
+        sent_at: int,
+        spent_us: int,
+        outcome: Outcome,
     ) -> None:
-        """Learn from an outcome: the endpoint's health, the ratio, the cap and the tenant's bill."""
+        """Update the endpoint's health, the latency ratio, the cap and the tenant's budget by an outcome."""
         if outcome is Outcome.NOT_EXECUTED or outcome is Outcome.CANCELLED:
             return
         ok = outcome is Outcome.OK
-        share = spent / call.request_class.objective_us
-        # Danger: one that drains turns calls away at once, seconds before the list tells of it. With little
-        # in flight it draws most of the sends, and each would count as crowding and cut the cap.
-        e.declines = e.declines + 1 if outcome is Outcome.REJECTED else 0
-        leaving = e.declines >= LEAVING_DECLINES
-        if leaving and not e.in_flight:
-            self._eject(now, e, "turns calls away")
-        if outcome is not Outcome.REJECTED:  # a full endpoint is busy, not ill
+        latency = spent_us / call.request_class.objective_us
+        # A draining endpoint rejects calls at once, seconds before the list shows it. With few in flight it
+        # draws most of the attempts, and each rejection would count as crowding and cut the cap.
+        endpoint.rejections_in_a_row = endpoint.rejections_in_a_row + 1 if outcome is Outcome.REJECTED else 0
+        is_draining = endpoint.rejections_in_a_row >= DRAINING_REJECTIONS
+        if is_draining and not endpoint.in_flight:
+            self._eject(now, endpoint, "rejects calls")
+        if outcome is not Outcome.REJECTED:  # a rejection means a busy endpoint, not a faulty one
             failed = 0.0 if ok else 1.0
-            together = outcome is Outcome.RESET and now - e.failed_at < TOGETHER_US
-            e.unreachable = outcome is Outcome.CONNECT_FAILED or together
-            self.fleet_failing += FLEET_WEIGHT * (failed - self.fleet_failing)
-            # Guards against one pause that fails all calls in flight: together they count as one failure.
-            if ok or sent >= e.failed_at:
-                e.failing += HEALTH_WEIGHT * (failed - e.failing)
+            in_burst = outcome is Outcome.RESET and now - endpoint.last_failure_at < RESET_BURST_US
+            endpoint.is_unreachable = outcome is Outcome.CONNECT_FAILED or in_burst
+            self.mean_failure_rate += OVERALL_WEIGHT * (failed - self.mean_failure_rate)
+            # A pause fails all calls in flight: those sent before the last failure count as one with it.
+            if ok or sent_at >= endpoint.last_failure_at:
+                endpoint.failure_rate += FAILURE_WEIGHT * (failed - endpoint.failure_rate)
             if failed:
-                e.failed_at = now
-                self._consider_ejecting(now, e)
+                endpoint.last_failure_at = now
+                self._eject_if_failing(now, endpoint)
         if ok or outcome is Outcome.TIMEOUT:
-            if not self.fleet_latency:
-                self.fleet_latency = share
-            self.fleet_latency += FLEET_WEIGHT * (share - self.fleet_latency)
-            relative = min(max(share / self.fleet_latency, 1 / SLOW_RANGE), SLOW_RANGE)
-            e.slow = e.slow + SLOW_WEIGHT * (relative - e.slow) if e.slow else 0.5 + 0.5 * relative
-        # Guards against one slow endpoint that gets tiers shed while its peers sit idle.
-        if e.slow <= OUTLIER or share <= self.fleet_latency:
+            if not self.mean_latency:
+                self.mean_latency = latency
+            self.mean_latency += OVERALL_WEIGHT * (latency - self.mean_latency)
+            relative = min(max(latency / self.mean_latency, 1 / MAX_RELATIVE_LATENCY), MAX_RELATIVE_LATENCY)
+            endpoint.relative_latency = (
+                endpoint.relative_latency + LATENCY_WEIGHT * (relative - endpoint.relative_latency)
+                if endpoint.relative_latency
+                else 0.5 + 0.5 * relative
+            )
+        # A single slow endpoint must not get calls refused while its peers are idle.
+        if endpoint.relative_latency <= OUTLIER_LATENCY or latency <= self.mean_latency:
             if ok or outcome is Outcome.TIMEOUT:
-                self.ratio.record(now, share)
-            if ok or outcome is Outcome.TIMEOUT or (outcome is Outcome.REJECTED and not leaving):
-                pool.limit.learn(now, sent, FULL_COUNTS if outcome is Outcome.REJECTED else share)
-        self.buckets.charge(call.bucket, call.price, call.paid, spent, ok)
-
-    def _consider_ejecting(self, now: int, e: EndpointState) -> None:
-        # Endpoints that are down for sure raise the share of all: a multiple of that could never be reached.
-        if e.failing >= EJECT_FAILING + EJECT_VERSUS_PEERS * self.fleet_failing:
-            self._eject(now, e, "fails")
-
-    def _eject(self, now: int, e: EndpointState, why: str) -> None:
-        if now < e.ejected_until:
+                self.ratio.record(now, latency)
+            if ok or outcome is Outcome.TIMEOUT or (outcome is Outcome.REJECTED and not is_draining):
+                pool.limit.record_outcome(
+                    now,
+                    sent_at,
+                    REJECTION_LATENCY if outcome is Outcome.REJECTED else latency,
+                )
+        self.buckets.charge(call.bucket, call.price_ru, call.paid_ru, spent_us, ok)
+
+    def _eject_if_failing(self, now: int, endpoint: EndpointState) -> None:
+        """Eject an endpoint that fails more often than usual, and than the others."""
+        # Dead endpoints raise the overall rate too: no endpoint could ever exceed a multiple of it.
+        if endpoint.failure_rate >= EJECTION_FAILURE_RATE + EJECTION_PEER_FACTOR * self.mean_failure_rate:
+            self._eject(now, endpoint, "fails")
+
+    def _eject(self, now: int, endpoint: EndpointState, reason: str) -> None:
+        """Keep calls from an endpoint for a while, unless too many endpoints are ejected already."""
+        if now < endpoint.ejected_until:
             return
-        self.ejected = [o for o in self.ejected if o is not e and now < o.ejected_until + RETURN_US]
-        if sum(now < o.ejected_until for o in self.ejected) + 1 > MAX_EJECTED * self.ready_count:
+        self.ejected = [o for o in self.ejected if o is not endpoint and now < o.ejected_until + RECOVERY_US]
+        if sum(now < o.ejected_until for o in self.ejected) + 1 > MAX_EJECTED_SHARE * self.ready_count:
             return
-        self.ejected.append(e)
-        for placement in self.candidate_sets:
-            placement.local.counted_at = placement.remote.counted_at = 0
-        e.ejections += 1
-        wait = min(EJECT_US * 2 ** (e.ejections - 1), EJECT_MAX_US)
-        e.ejected_until = now + int(wait * (0.75 + 0.5 * self.random.random()))
-        # Guards against copies so quiet that a failing endpoint is back before they have called it twice.
-        e.failing = EJECTED_FAILING
-        self.actions.write_log(f"endpoint {e.id} ejected for {(e.ejected_until - now) / 1e6:.1f} s: it {why}")
-
-    def _again(self, now: int, call: Call, outcome: Outcome) -> None:
-        """All attempts ended without an answer: send another where that is legal and wise, or give up."""
-        s = self.settings
-        tries = min(MAX_ATTEMPTS if s.layer == 0 else MAX_ATTEMPTS_INNER, s.limits.max_attempts)
-        tries = min(tries, call.request_class.max_attempts or tries)
-        legal = call.first_run is None or call.request_class.effect is not Effect.AT_MOST_ONCE
-        legal = legal and len(call.attempts) < tries and now < call.due - ANSWER_MARGIN_US
-        # What was turned away unseen made no work: the budget is for retries of what may have.
-        if legal and (outcome in NEVER_RAN or self.retries.spend()):
+        self.ejected.append(endpoint)
+        for candidates in self.candidate_sets:
+            candidates.local.usage_read_at = candidates.remote.usage_read_at = 0
+        endpoint.ejection_count += 1
+        wait = min(EJECTION_US * 2 ** (endpoint.ejection_count - 1), MAX_EJECTION_US)
+        endpoint.ejected_until = now + int(wait * (0.75 + 0.5 * self.random.random()))
+        # Not reset: on a quiet instance a failing endpoint would return before two calls have reached it.
+        endpoint.failure_rate = FAILURE_RATE_AFTER_EJECTION
+        self.actions.write_log(
+            f"endpoint {endpoint.id} ejected for {(endpoint.ejected_until - now) / 1e6:.1f} s: it {reason}"
+        )
+
+    def _retry_or_refuse(self, now: int, call: Call, outcome: Outcome) -> None:
+        """Handle the end of all attempts without an answer: retry if that is legal and useful, or refuse."""
+        settings = self.settings
+        limit = min(MAX_ATTEMPTS if settings.layer == 0 else MAX_ATTEMPTS_INNER, settings.limits.max_attempts)
+        limit = min(limit, call.request_class.max_attempts or limit)
+        allowed = call.earliest_possible_run is None or call.request_class.effect is not Effect.AT_MOST_ONCE
+        allowed = allowed and len(call.attempts) < limit and now < call.useful_until - ANSWER_MARGIN_US
+        # An attempt that never ran has made no work: the budget is for retries of those that may have.
+        if allowed and (outcome in NEVER_RAN or self.retry_budget.spend()):
             for pool in self.candidates[call.request_class.name].pools:
-                if pool.subset.members and (endpoint := self._pick(now, pool, call)) is not None:
+                if pool.subset.members and (endpoint := self._pick_endpoint(now, pool, call)) is not None:
                     self._send(now, call, endpoint, pool)
                     return
         self._refuse(call)
 
     def hearsay(self, now_us: int, factors: Mapping[str, float]) -> None:
-        """Others' evidence only lowers: nothing heard makes a cold endpoint warm or a draining one ready."""
-        for e in self.endpoints.values():
-            e.peer_factor = min(max(factors.get(e.id, 1.0), HEARSAY_FLOOR), 1.0)
+        """Take the traffic factors from peer reports, in 0..1 by endpoint id.
+
+        They only lower traffic: no report makes a cold endpoint warm, or a draining one ready.
+        """
+        for endpoint in self.endpoints.values():
+            endpoint.peer_factor = min(max(factors.get(endpoint.id, 1.0), MIN_PEER_FACTOR), 1.0)
 
     def expired(self, now_us: int, call: str) -> None:
+        """Close a call that its client has given up."""
         found = self.calls.get(call)
         if found is None:
             return
-        if found.held_until:
-            self.queue.take(found)
-        self._answered(found)
-        self._call_off(found)
+        if found.queued_until:
+            self.queue.remove(found)
+        self._mark_answered(found)
+        self._cancel_outstanding(found)
--- a/eiderhub/policy/__init__.py
+++ b/eiderhub/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Parts of the decisions that stand by themselves; `eiderhub.balancer` puts them to use."""
+"""Self-contained parts of the decision module, used by `eiderhub.balancer`."""
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The files that decide are all listed in the deploy file, and their lines fit a reviewer's window."""
+"""The modules of the decision policy are listed in the deploy file, and their lines stay within 110 columns."""
 
 from __future__ import annotations
 
@@ -15,5 +15,5 @@
     assert max(map(len, lines)) <= 110
 
 
-def test_every_module_of_the_policy_is_named() -> None:
+def test_every_module_of_the_policy_is_listed() -> None:
     assert {str(path.relative_to(ROOT)) for path in (ROOT / "eiderhub" / "policy").glob("*.py")} <= set(POLICY)
