--- a/eiderhub/balancer.py
+++ b/eiderhub/balancer.py
@@ -124,7 +124,7 @@
 MAX_RELATIVE_LATENCY = 4.0  # bound on how much slower or faster than its peers an endpoint counts
 COLD_CAPACITY_USE = 0.5  # share of a cold endpoint's overload factor that all instances together use
 USAGE_INTERVAL_US = 50_000  # between computations of a pool's usable and live capacity
-RISE_WEIGHT, FALL_WEIGHT = 0.2, 0.01  # of the newest window in a pool's send rate
+RISE_WEIGHT, FALL_WEIGHT = 0.2, 0.01  # of the newest window in a pool's send rate, as it rises or falls
 OUTLIER_LATENCY = 2.0  # endpoints slower than this, relative to peers, do not affect the ratio and the cap
 
 # --- connections ---
@@ -744,11 +744,11 @@
         self.settings = settings
         self.actions = actions
         self.random = random.Random(seed)
-        whole = [c for c in settings.classes if not c.variant_of]
-        best = max(c.worth for c in whole) or 1.0
+        base_classes = [c for c in settings.classes if not c.variant_of]
+        best_worth = max(c.worth for c in base_classes) or 1.0
         worths = {
-            (c.name, over_share): c.worth / best * (settings.over_share_worth if over_share else 1.0)
-            for c in whole
+            (c.name, over_share): c.worth / best_worth * (settings.over_share_worth if over_share else 1.0)
+            for c in base_classes
             for over_share in (False, True)
         }
         goal = settings.goal
@@ -767,7 +767,10 @@
     # --- lifecycle and discovery ---
 
     def start(self, now_us: int, has_cached_list: bool = False) -> None:
-        """Initialize the state and begin to follow discovery."""
+        """Initialize the state and begin to follow discovery.
+
+        Where `discovery` delivers a cached list next, a short random wait may precede the first poll.
+        """
         settings = self.settings
         self.started = True
         self.endpoints: dict[str, EndpointState] = {}
@@ -819,9 +822,9 @@
     def adopt(self, now_us: int, classes: Sequence[RequestClass]) -> None:
         """Replace the variants of the classes; those that open calls use stay until a later change."""
         in_use = {c.request_class.name: c.request_class for c in self.calls.values()}
-        whole = [c for c in self.classes.values() if not c.variant_of]
+        base_classes = [c for c in self.classes.values() if not c.variant_of]
         variants = {c.name: c for c in (*in_use.values(), *classes) if c.variant_of}
-        self._set_classes([*whole, *variants.values()])
+        self._set_classes([*base_classes, *variants.values()])
         self._draw_subsets()
         if self.queue.count:
             self._send_queued(now_us)
@@ -938,7 +941,7 @@
         if not self.started:
             raise RuntimeError("order before start")
         if call in self.calls:
-            raise RuntimeError(f"a request with the id {call} is open already")
+            raise RuntimeError(f"request {call} is open already")
         buckets = self.buckets
         if now_us >= buckets.next_refill:
             buckets.refill(now_us)
@@ -1093,9 +1096,9 @@
             if pool is candidates.remote and candidates.local.subset.members:
                 # Other zones carry what this zone has lost.
                 lost = 1.0 - candidates.local.limit.usable_fraction
-                local_share, beyond = candidates.local.limit.lagged_share, candidates.remote_share
+                local_share, remote_share = candidates.local.limit.lagged_share, candidates.remote_share
                 limit.endpoint_share = limit.lagged_share = max(
-                    REMOTE_ZONE_SHARE * (local_share + beyond), lost * local_share + beyond
+                    REMOTE_ZONE_SHARE * (local_share + remote_share), lost * local_share + remote_share
                 )
             if limit.is_full(now, cap_share * limit.max_in_flight(self.saturation), self.random):
                 zone_is_exhausted = False
@@ -1126,15 +1129,15 @@
     def _pick_endpoint(self, now: int, pool: Pool, call: Call) -> EndpointState | None:
         """Return the less loaded, by own calls in flight, of two random members of the subset."""
         members = pool.subset.members
-        n = len(members)
+        member_count = len(members)
         best: EndpointState | None = None
         best_load = 0.0
         previous = call.attempts
         spare_shares = self.candidates[call.request_class.name].spare_shares
-        found = 0
+        candidate_count = 0
         # Random draws come first. A retry that finds no endpoint is refused, so it then tries each member.
-        for index in range(-2 * DRAWS_PER_CANDIDATE, n if previous else 0):
-            endpoint = members[index if index >= 0 else int(self.random.random() * n)]
+        for index in range(-2 * DRAWS_PER_CANDIDATE, member_count if previous else 0):
+            endpoint = members[index if index >= 0 else int(self.random.random() * member_count)]
             if endpoint is best or (previous and any(a[0] is endpoint for a in previous)):
                 continue
             slow_start = self._slow_start_fraction(now, endpoint)
@@ -1164,8 +1167,8 @@
                 load *= endpoint.relative_latency
             if best is None or load < best_load:
                 best, best_load = endpoint, load
-            found += 1
-            if found == 2:
+            candidate_count += 1
+            if candidate_count == 2:
                 break
         return best
 
@@ -1198,8 +1201,8 @@
         for candidates in self.candidate_sets:
             candidates.local.limit.in_flight = candidates.remote.limit.in_flight = 0
         for call in self.calls.values():
-            for n in call.outstanding:
-                endpoint, _, pool, _ = call.attempts[n]
+            for attempt in call.outstanding:
+                endpoint, _, pool, _ = call.attempts[attempt]
                 pool.limit.in_flight += endpoint.is_ready
 
     def _recovery_fraction(self, now: int, endpoint: EndpointState) -> float:
