--- a/eiderhub/__init__.py
+++ b/eiderhub/__init__.py
@@ -1,4 +1,4 @@
-"""eiderhub: load-balancing decisions for services that call services."""
+"""eiderhub: load-balancing decisions for calls between services."""
 
 from eiderhub.balancer import Balancer
 from eiderhub.interface import (
--- a/eiderhub/__main__.py
+++ b/eiderhub/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m eiderhub` does what the command `eiderhub` does."""
+"""Runs the command `eiderhub` by `python -m eiderhub`."""
 
 import sys
 
--- a/eiderhub/load_reports.py
+++ b/eiderhub/load_reports.py
@@ -1,6 +1,7 @@
-"""Reads the load reports that endpoints put into their answers: "name=value,..." on sockets, ":" on the wire.
+"""Parses the load reports that endpoints add to their replies.
 
-A report is a hint, never a reason to fail: what can't be read counts as not told.
+A report is a list "name=value,name=value" in HTTP headers and "name:value,name:value" on the simulator's wire. Reports
+are hints: what can't be parsed is ignored and never an error.
 """
 
 from __future__ import annotations
@@ -9,29 +10,30 @@
 
 from eiderhub.interface import LoadReport
 
-BUSY = frozenset(("cpu_share", "util"))  # the simulator's name and the sockets' for one figure
-MOST_CHARS = 256  # of a report; a longer one is noise
-MOST_FIGURE = 1e9  # above which a value says nothing
+BUSY_SHARE_NAMES = frozenset(("cpu_share", "util"))  # on the simulator's wire and in HTTP headers
+MAX_CHARS = 256  # a longer report is ignored
+MAX_VALUE = 1e9  # a larger value is ignored
 
 
-def _figure(text: str) -> float | None:
+def _parse_value(text: str) -> float | None:
+    """Return a finite value in 0..MAX_VALUE, or None for any other text."""
     try:
         value = float(text)
     except ValueError:
         return None
-    return value if math.isfinite(value) and 0.0 <= value <= MOST_FIGURE else None
+    return value if math.isfinite(value) and 0.0 <= value <= MAX_VALUE else None
 
 
 def parse_load_report(text: str, separator: str) -> LoadReport | None:
-    """The report in `text`, whose names and values have `between` between them; None where it says nothing.
+    """Parse a report whose names and values are separated by `separator`; None without a valid busy share.
 
-    Source: PROTOCOL, `Srv-Load` (sockets); WIRE, `ServerStats` (simulator).
+    Source: PROTOCOL, `Srv-Load` (HTTP header); WIRE, `ServerStats` (simulator).
     """
-    if len(text) > MOST_CHARS:
+    if len(text) > MAX_CHARS:
         return None
-    busy = None
+    busy_share = None
     for pair in text.split(","):
         name, _, value = pair.strip().partition(separator)
-        if name in BUSY:
-            busy = _figure(value)
-    return None if busy is None else LoadReport(busy)
+        if name in BUSY_SHARE_NAMES:
+            busy_share = _parse_value(value)
+    return None if busy_share is None else LoadReport(busy_share)
--- a/eiderhub/settings.py
+++ b/eiderhub/settings.py
@@ -1,4 +1,4 @@
-"""Reads the settings object that a host is given for an instance: the wire adapter and the sidecar alike."""
+"""Parses the settings object of an instance, as the simulator's wire and the sidecar's JSON file carry it."""
 
 from __future__ import annotations
 
@@ -18,60 +18,69 @@
     Tenant,
 )
 
-BY_WORTH = ("Whole", "WorstWindow", "WorstTenant", "Availability")  # parts of `Goal` that add up worth
-BY_CLASS = ("WorstClass", "Tail")  # and those that look at each class alone
+WORTH_GOALS = ("Whole", "WorstWindow", "WorstTenant", "Availability")  # keys of "Goal" that weigh requests by worth
+CLASS_GOALS = ("WorstClass", "Tail")  # keys of "Goal" that weigh each class alike
 
 
-def _get(table: Any, key: str, kind: type | tuple[type, ...], where: str, default: Any = None) -> Any:
-    """A checked value of a settings table; without a default it is required."""
+def _get(table: Any, key: str, types: type | tuple[type, ...], prefix: str, default: Any = None) -> Any:
+    """Return the value of a key of a settings table, or the default where it is absent or null.
+
+    Raises ValueError, with the path of the key, where the value is of another type or absent without a default. A bool
+    does not count as a number.
+    """
     if not isinstance(table, dict):
-        raise ValueError(f"{where.rstrip('.')}: must be an object")
+        raise ValueError(f"{prefix.rstrip('.')}: must be an object")
     value = table.get(key)
     if value is None:
         if default is None:
-            raise ValueError(f"{where}{key}: missing")
+            raise ValueError(f"{prefix}{key}: missing")
         return default
-    if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-        raise ValueError(f"{where}{key}: impossible value {value!r}")
+    if not isinstance(value, types) or (isinstance(value, bool) and types is not bool):
+        raise ValueError(f"{prefix}{key}: invalid value {value!r}")
     return value
 
 
-def _choice(enum: type[Any], table: Any, key: str, where: str, default: str | None = None) -> Any:
-    value = _get(table, key, str, where, default)
+def _get_enum(enum: type[Any], table: Any, key: str, prefix: str, default: str | None = None) -> Any:
+    """Return the member of an enum whose value the key has. Raises ValueError as `_get` does."""
+    value = _get(table, key, str, prefix, default)
     try:
         return enum(value)
     except ValueError:
-        raise ValueError(f"{where}{key}: impossible value {value!r}") from None
+        raise ValueError(f"{prefix}{key}: invalid value {value!r}") from None
 
 
-def _names(table: Any, key: str, where: str) -> frozenset[str] | None:
-    """A list of names that may be absent; an empty one is a list all the same and allows nothing."""
+def _get_names(table: Any, key: str, prefix: str) -> frozenset[str] | None:
+    """Return a list of names as a set, or None where the key is absent or null. An empty list stays an empty set."""
     if table.get(key) is None:
         return None
-    value = _get(table, key, list, where)
+    value = _get(table, key, list, prefix)
     if not all(isinstance(name, str) for name in value):
-        raise ValueError(f"{where}{key}: impossible value {value!r}")
+        raise ValueError(f"{prefix}{key}: invalid value {value!r}")
     return frozenset(value)
 
 
-def _fields(make: Callable[..., Any], where: str, renamed: dict[str, str], **values: Any) -> Any:
-    """Build a settings class; its complaints about a field are worded with the wire's key."""
+def _build(factory: Callable[..., Any], prefix: str, wire_keys: dict[str, str], **values: Any) -> Any:
+    """Create a settings object. Its ValueError about a field is raised anew with the field's path and wire key."""
     try:
-        return make(**values)
+        return factory(**values)
     except ValueError as error:
-        name, _, why = str(error).partition(": ")
-        raise ValueError(f"{where}{renamed.get(name, name)}: {why}") from None
+        name, _, reason = str(error).partition(": ")
+        raise ValueError(f"{prefix}{wire_keys.get(name, name)}: {reason}") from None
 
 
 def parse_settings(setup: Any) -> Settings:
-    """Read the settings of `power_on`; unknown keys are skipped, absent optional ones take defaults."""
+    """Parse the object that the simulator's `power_on` and the sidecar's `settings` carry.
+
+    Unknown keys are ignored; absent optional keys get their defaults. Raises ValueError with the path of a missing or
+    invalid key.
+    """
     number = (int, float)
     if not isinstance(setup, dict):
         raise ValueError("Setup: must be an object")
     classes = []
-    for i, c in enumerate(_get(setup, "Categories", list, "")):
-        where = f"Categories[{i}]."
-        renamed = {
+    for i, category in enumerate(_get(setup, "Categories", list, "")):
+        prefix = f"Categories[{i}]."
+        wire_keys = {
             "name": "Name",
             "objective_us": "AimUs",
             "deadline_us": "DeadlineUs",
@@ -79,43 +88,43 @@
             "late_worth_share": "LateShare",
             "dedup_window_us": "DedupWindowUs",
         }
-        effect = _choice(Effect, c, "Effect", where)
-        keyed = effect is Effect.DEDUPLICATED
+        effect = _get_enum(Effect, category, "Effect", prefix)
+        is_deduplicated = effect is Effect.DEDUPLICATED
         classes.append(
-            _fields(
+            _build(
                 RequestClass,
-                where,
-                renamed,
-                name=_get(c, "Name", str, where),
-                objective_us=_get(c, "AimUs", int, where),
-                deadline_us=_get(c, "DeadlineUs", int, where),
+                prefix,
+                wire_keys,
+                name=_get(category, "Name", str, prefix),
+                objective_us=_get(category, "AimUs", int, prefix),
+                deadline_us=_get(category, "DeadlineUs", int, prefix),
                 effect=effect,
-                dedup_scope=_choice(DedupScope, c, "Group", where, None if keyed else "all"),
-                dedup_window_us=_get(c, "DedupWindowUs", int, where, None if keyed else 0),
-                worth=float(_get(c, "Credit", number, where, 1.0)),
-                late_worth_share=float(_get(c, "LateShare", number, where, 0.0)),
-                streaming=_get(c, "Streaming", bool, where, False),
-                allowed_zones=_names(c, "StaysIn", where),
-                allowed_machine_kinds=_names(c, "ServedOn", where),
+                dedup_scope=_get_enum(DedupScope, category, "Group", prefix, None if is_deduplicated else "all"),
+                dedup_window_us=_get(category, "DedupWindowUs", int, prefix, None if is_deduplicated else 0),
+                worth=float(_get(category, "Credit", number, prefix, 1.0)),
+                late_worth_share=float(_get(category, "LateShare", number, prefix, 0.0)),
+                streaming=_get(category, "Streaming", bool, prefix, False),
+                allowed_zones=_get_names(category, "StaysIn", prefix),
+                allowed_machine_kinds=_get_names(category, "ServedOn", prefix),
             )
         )
     tenants = []
-    for i, t in enumerate(_get(setup, "Parties", list, "", [])):
-        where = f"Parties[{i}]."
-        renamed = {"name": "Name", "share": "Share", "quota_per_s": "QuotaPerS"}
+    for i, party in enumerate(_get(setup, "Parties", list, "", [])):
+        prefix = f"Parties[{i}]."
+        wire_keys = {"name": "Name", "share": "Share", "quota_per_s": "QuotaPerS"}
         tenants.append(
-            _fields(
+            _build(
                 Tenant,
-                where,
-                renamed,
-                name=_get(t, "Name", str, where),
-                share=float(_get(t, "Share", number, where, 0.0)),
-                quota_per_s=float(_get(t, "QuotaPerS", number, where, 0.0)),
+                prefix,
+                wire_keys,
+                name=_get(party, "Name", str, prefix),
+                share=float(_get(party, "Share", number, prefix, 0.0)),
+                quota_per_s=float(_get(party, "QuotaPerS", number, prefix, 0.0)),
             )
         )
     allowed, charges = _get(setup, "Allowed", dict, "", {}), _get(setup, "Charges", dict, "", {})
-    figures = _get(setup, "Rules", dict, "", {})
-    limits = _fields(
+    rules_table = _get(setup, "Rules", dict, "", {})
+    limits = _build(
         Limits,
         "Allowed.",
         {
@@ -136,7 +145,7 @@
         cross_zone=float(_get(charges, "CrossZone", number, "Charges.", 0.0)),
         handshake=float(_get(charges, "Handshake", number, "Charges.", 0.0)),
     )
-    rules = _fields(
+    rules = _build(
         Rules,
         "Rules.",
         {
@@ -146,23 +155,23 @@
             "drain_grace_us": "DrainGraceUs",
             "poll_interval_us": "AskEveryUs",
         },
-        warm_up_us=_get(figures, "ColdUs", int, "Rules.", 10_000_000),
-        cold_capacity_share=float(_get(figures, "ColdFrom", number, "Rules.", 0.1)),
-        overload_factor=float(_get(figures, "OverloadFactor", number, "Rules.", 2.0)),
-        drain_grace_us=_get(figures, "DrainGraceUs", int, "Rules.", 1_000_000),
-        poll_interval_us=_get(figures, "AskEveryUs", int, "Rules.", 0) or 10_000_000,  # 0 where lists are pushed
+        warm_up_us=_get(rules_table, "ColdUs", int, "Rules.", 10_000_000),
+        cold_capacity_share=float(_get(rules_table, "ColdFrom", number, "Rules.", 0.1)),
+        overload_factor=float(_get(rules_table, "OverloadFactor", number, "Rules.", 2.0)),
+        drain_grace_us=_get(rules_table, "DrainGraceUs", int, "Rules.", 1_000_000),
+        poll_interval_us=_get(rules_table, "AskEveryUs", int, "Rules.", 0) or 10_000_000,  # 0 with pushed lists
     )
-    parts = _get(setup, "Goal", dict, "", {})
-    weight = {key: float(_get(parts, key, number, "Goal.", 0.0)) for key in BY_WORTH + BY_CLASS}
-    for key, value in weight.items():
+    goals = _get(setup, "Goal", dict, "", {})
+    weights = {key: float(_get(goals, key, number, "Goal.", 0.0)) for key in WORTH_GOALS + CLASS_GOALS}
+    for key, value in weights.items():
         if value < 0:
             raise ValueError(f"Goal.{key}: must not be negative")
     goal = Goal(
-        worth_weight=sum(weight[key] for key in BY_WORTH) if parts else 1.0,
-        class_weight=sum(weight[key] for key in BY_CLASS),
+        worth_weight=sum(weights[key] for key in WORTH_GOALS) if goals else 1.0,
+        class_weight=sum(weights[key] for key in CLASS_GOALS),
     )
     tiers = _get(setup, "Tiers", list, "", [""])
-    return _fields(  # type: ignore[no-any-return]
+    return _build(  # type: ignore[no-any-return]
         Settings,
         "",
         {
@@ -182,7 +191,7 @@
         zone=_get(setup, "MyZone", str, "", ""),
         tenants=tuple(tenants),
         over_share_worth=float(_get(setup, "OverShareWorth", number, "", 1.0)),
-        discovery=_choice(Discovery, setup, "Discovery", "", "push"),
+        discovery=_get_enum(Discovery, setup, "Discovery", "", "push"),
         limits=limits,
         prices=prices,
         goal=goal,
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
-"""Property tests draw the same examples on every run, so that no verdict is random.
+"""Configures Hypothesis so that property tests use the same examples in every run and results are reproducible.
 
-A longer search, by hand and never in CI: `python -m pytest --hypothesis-profile=long tests/thrift/test_codec.py`.
+A longer search is started by hand, not in CI: `python -m pytest --hypothesis-profile=long tests/thrift/test_codec.py`.
 """
 
 import os
@@ -12,7 +12,7 @@
 from eiderhub.protocols.http1.client import Connection
 from eiderhub.schema.declared import VARIABLE
 
-os.environ[VARIABLE] = str(Path(__file__).parent / "corpus" / "declared.toml")  # programs that tests start have it too
+os.environ[VARIABLE] = str(Path(__file__).parent / "corpus" / "declared.toml")  # child processes inherit it
 
 settings.register_profile("fixed", derandomize=True, deadline=None, max_examples=60)
 settings.register_profile("long", deadline=None, max_examples=1_000)
@@ -20,10 +20,10 @@
 
 
 @pytest.fixture(autouse=True)
-def used_again_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Connections to endpoints rest a moment after an answer; tests of what is used again go on at once.
+def reuse_connections_immediately(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Disable the delay after which an idle connection to an endpoint may be reused.
 
-    Without this they would pass for the wrong reason: each request would have a fresh connection. What the rest is for,
-    tests/test_connection_races.py shows with it.
+    With the delay, tests of reuse would pass for the wrong reason: each request would get a new connection.
+    tests/test_connection_races.py tests the delay itself.
     """
     monkeypatch.setattr(Connection, "reuse_delay_us", 0)
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""A host that plays events into one instance, carries out its timers and records its actions."""
+"""A host for tests: it delivers events to one instance of the decision module and records the actions."""
 
 from __future__ import annotations
 
@@ -21,6 +21,7 @@
     Tenant,
 )
 
+# One millisecond and one second, in microseconds.
 MS = 1000
 S = 1_000_000
 
@@ -30,6 +31,7 @@
 
 
 def make_settings(**changes: Any) -> Settings:
+    """Settings of one of four instances in zone "east"; `changes` replace fields."""
     base = Settings(
         classes=(IDEMPOTENT, DEDUPLICATED, AT_MOST_ONCE),
         balancers=4,
@@ -43,6 +45,7 @@
 
 
 def make_endpoints(count: int, zone: str = "east", start: int = 0, started_us: int = 0) -> list[Endpoint]:
+    """Ready endpoints numbered from `start`, four to a cell."""
     return [
         Endpoint(f"10.0.{i // 250}.{i % 250}:80", zone, "std", i // 4, Readiness.READY, 1.0, started_us)
         for i in range(start, start + count)
@@ -50,11 +53,15 @@
 
 
 class RecordingHost:
-    """Records actions as tuples; `advance` delivers due timers."""
+    """Records the instance's actions as tuples of the action's name and its values, in order.
+
+    `sent_to` maps each call to the endpoints of its attempts. Times are in microseconds. `advance` moves the clock and
+    delivers the timers that fall due.
+    """
 
     def __init__(
         self,
-        chosen: Settings | None = None,
+        settings: Settings | None = None,
         entries: Iterable[Endpoint] = (),
         seed: int = 7,
         now: int = 1_000_000_000,
@@ -64,12 +71,12 @@
         self.actions: list[tuple[Any, ...]] = []
         self.timers: list[tuple[int, str]] = []
         self.sent_to: dict[str, list[str]] = {}
-        self.serial = 0
-        self.balancer = Balancer(chosen or make_settings(), seed, self)
+        self.call_count = 0
+        self.balancer = Balancer(settings or make_settings(), seed, self)
         self.balancer.start(now, has_cached_list)
         self.balancer.discovery(now, ListForm.CACHED, list(entries))
 
-    # actions
+    # Actions
     def hand_off(self, call: str, endpoint: str, max_wait_us: int) -> None:
         self.actions.append(("hand_off", call, endpoint, max_wait_us))
         self.sent_to.setdefault(call, []).append(endpoint)
@@ -95,10 +102,11 @@
     def write_log(self, text: str) -> None:
         self.actions.append(("write_log", text))
 
-    # driving
+    # Events
     def order(self, class_name: str = "look", tenant: str | None = "small", expires_in_us: int = 3 * S) -> str:
-        self.serial += 1
-        call = f"{self.serial:016x}"
+        """Deliver a request and return its call id."""
+        self.call_count += 1
+        call = f"{self.call_count:016x}"
         self.balancer.order(self.now, call, class_name, tenant, expires_in_us, None)
         return call
 
@@ -110,26 +118,29 @@
         attempt: int = -1,
         closed: bool | None = None,
     ) -> None:
+        """End an attempt, by default the last one; `closed` is by default whether the outcome is OK."""
         number = attempt if attempt >= 0 else len(self.sent_to[call]) - 1
-        done = outcome is Outcome.OK if closed is None else closed
-        self.balancer.reply(self.now, call, number, self.sent_to[call][number], spent, done, outcome)
+        is_closed = outcome is Outcome.OK if closed is None else closed
+        self.balancer.reply(self.now, call, number, self.sent_to[call][number], spent, is_closed, outcome)
 
     def complete_all(self, spent: int = 100 * MS) -> None:
-        """Serve the calls that are out."""
+        """Reply successfully to the last attempt of each call that is in flight."""
         for call in [c for c in self.sent_to if c in self.balancer.calls]:
             self.reply(call, Outcome.OK, spent=spent)
 
-    def advance(self, by: int) -> None:
-        end = self.now + by
+    def advance(self, duration_us: int) -> None:
+        end = self.now + duration_us
         while self.timers and min(self.timers)[0] <= end:
-            due = min(self.timers)
-            self.timers.remove(due)
-            self.now = max(self.now, due[0])
-            self.balancer.wake(self.now, due[1])
+            timer = min(self.timers)
+            self.timers.remove(timer)
+            self.now = max(self.now, timer[0])
+            self.balancer.wake(self.now, timer[1])
         self.now = end
 
     def final_answers(self, call: str) -> list[str]:
-        return [d[0] for d in self.actions if d[0] in ("shed", "surrender") and d[1] == call]
+        """The refusals ("shed") and failures ("surrender") of a call."""
+        return [a[0] for a in self.actions if a[0] in ("shed", "surrender") and a[1] == call]
 
     def hand_offs(self, call: str | None = None) -> list[tuple[Any, ...]]:
-        return [d for d in self.actions if d[0] == "hand_off" and (call is None or d[1] == call)]
+        """The attempts of one call or of all calls, as ("hand_off", call, endpoint, max_wait_us)."""
+        return [a for a in self.actions if a[0] == "hand_off" and (call is None or a[1] == call)]
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -1,4 +1,4 @@
-"""Nothing adds up where connections, endpoints and ids are ever new: objects are counted after churn."""
+"""Memory leaks: counts objects after churn of connections, endpoints and ids."""
 
 from __future__ import annotations
 
@@ -17,30 +17,30 @@
 from eiderhub.sidecar.upstream import Attempt, Pool
 from tests.sidecar_support import FakeServer, Sidecar, row, run
 
-COUNTED = (Timer, Attempt, CallerConnection, Connection, Pool, Request)
+COUNTED_TYPES = (Timer, Attempt, CallerConnection, Connection, Pool, Request)
 
 
-def counts() -> Counter[str]:
-    return Counter(type(o).__name__ for o in gc.get_objects() if isinstance(o, COUNTED))
+def count_objects() -> Counter[str]:
+    return Counter(type(o).__name__ for o in gc.get_objects() if isinstance(o, COUNTED_TYPES))
 
 
-@pytest.mark.parametrize("ending", ["answered", "turned away", "client gone", "spoilt", "timed out"])
-def test_churned_connections_leave_nothing_for_the_collector(ending: str) -> None:
-    """The start freezes what lives and makes full collections rare: what hangs in a cycle piles up."""
+@pytest.mark.parametrize("ending", ["answered", "refused", "client disconnected", "malformed reply", "timed out"])
+def test_finished_requests_leave_no_reference_cycles(ending: str) -> None:
+    """The sidecar freezes objects at its start and makes full collections rare: reference cycles would accumulate."""
 
-    async def one(sidecar: Sidecar) -> None:
+    async def run_request(sidecar: Sidecar) -> None:
         client = await sidecar.client()
         client.send(
             deadline_ms=80 if ending == "timed out" else 2500,
-            Req_Owner="?" if ending == "turned away" else "acme",
+            Req_Owner="?" if ending == "refused" else "acme",
         )
-        if ending != "turned away":
-            asked = await sidecar.endpoints[0].next()
+        if ending != "refused":
+            request = await sidecar.endpoints[0].next()
             if ending == "answered":
-                asked.reply(200, b"done", "Connection: close")
-            elif ending == "spoilt":
-                asked.writer.write(b"noise\r\n\r\n")
-        if ending == "client gone":
+                request.reply(200, b"done", "Connection: close")
+            elif ending == "malformed reply":
+                request.writer.write(b"noise\r\n\r\n")
+        if ending == "client disconnected":
             client.writer.close()
             await sidecar.endpoints[0].ends.get()
         else:
@@ -49,30 +49,30 @@
 
     async def test() -> None:
         async with Sidecar(MayCancel=True) as sidecar:
-            await one(sidecar)
-            await settled(sidecar)
+            await run_request(sidecar)
+            await wait_until_idle(sidecar)
             gc.collect()
             gc.disable()
             try:
-                before = counts()
+                before = count_objects()
                 for _ in range(10):
-                    await one(sidecar)
-                await settled(sidecar)
-                # The last one may still be on its way out; what adds up does so with each of them.
-                assert max((counts() - before).values(), default=0) <= 2
+                    await run_request(sidecar)
+                await wait_until_idle(sidecar)
+                # Objects of the last request may not be released yet; a leak would add some with each of the ten.
+                assert max((count_objects() - before).values(), default=0) <= 2
             finally:
                 gc.enable()
 
-    async def settled(sidecar: Sidecar) -> None:
+    async def wait_until_idle(sidecar: Sidecar) -> None:
         while sidecar.callers or sidecar.host.requests or sidecar.host.upstream.open_connections:
             await asyncio.sleep(0.01)
-        await asyncio.sleep(0.05)  # what was aborted is let go of in the loop's next turns
+        await asyncio.sleep(0.05)  # aborted connections are released in the next iterations of the event loop
 
     run(test())
 
 
 @pytest.mark.parametrize("form", [ListForm.DELTA, ListForm.FULL])
-def test_endpoints_that_are_gone_are_forgotten(form: ListForm) -> None:
+def test_state_of_removed_endpoints_is_dropped(form: ListForm) -> None:
     async def test() -> None:
         async with Sidecar(endpoints=1) as sidecar:
             address = sidecar.endpoints[0].address
@@ -80,30 +80,30 @@
                 rows = [row(f"s-{i + 1}", address)]
                 if form is ListForm.DELTA:
                     rows += [row(f"s-{i}", address, "draining"), row(f"s-{i}", address, "gone")]
-                listing = read_endpoint_list({"generation": i, "reset": False, "instances": rows})
-                sidecar.host.on_list(form, listing.entries)
+                endpoint_list = read_endpoint_list({"generation": i, "reset": False, "instances": rows})
+                sidecar.host.on_list(form, endpoint_list.entries)
             assert list(sidecar.host.upstream.pools) == ["s-50"]
             assert list(sidecar.host.balancer.endpoints) == ["s-50"]
 
     run(test())
 
 
-def test_late_outcome_of_an_endpoint_that_is_gone_does_no_harm() -> None:
-    """Its address may have come back under a new id, whose own calls it must not be counted with."""
+def test_late_outcome_of_a_removed_endpoint_does_not_count_for_its_successor() -> None:
+    """Its address may be listed again under a new id, whose calls in flight must not be changed."""
 
     async def test() -> None:
         async with Sidecar(endpoints=1) as sidecar:
-            fake: FakeServer = sidecar.endpoints[0]
+            server: FakeServer = sidecar.endpoints[0]
             old_client, new_client = await sidecar.client(), await sidecar.client()
             old_client.send()
-            old = await fake.next()
-            rows = [row("s-0", fake.address, "gone"), row("s-1", fake.address)]
-            listing = read_endpoint_list({"generation": 2, "reset": False, "instances": rows})
-            sidecar.host.on_list(ListForm.DELTA, listing.entries)
+            old = await server.next()
+            rows = [row("s-0", server.address, "gone"), row("s-1", server.address)]
+            endpoint_list = read_endpoint_list({"generation": 2, "reset": False, "instances": rows})
+            sidecar.host.on_list(ListForm.DELTA, endpoint_list.entries)
             balancer = sidecar.host.balancer
-            assert set(balancer.endpoints) == {"s-0", "s-1"}  # one has something out
+            assert set(balancer.endpoints) == {"s-0", "s-1"}  # s-0 has a call in flight
             new_client.send()
-            new = await fake.next()
+            new = await server.next()
             assert new.connection != old.connection
             old.reply()
             assert (await old_client.answer()).status == 200
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter: framing, settings, bad input, determinism."""
+"""The wire adapter: framing, settings, malformed input and determinism."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from eiderhub.wirehost import WireError, WireHost
 
 
-def setup(**changes: Any) -> dict[str, Any]:
-    """A deployment written for these tests."""
-    made: dict[str, Any] = {
+def make_setup(**changes: Any) -> dict[str, Any]:
+    """The Setup object of an instance; `changes` replace its keys."""
+    setup: dict[str, Any] = {
         "Allowed": {"MaxAttempts": 3, "ConnIdleUs": 9000000, "MayCancel": True, "Novelty": 7},
         "Balancers": 2,
         "Categories": [
@@ -40,14 +40,14 @@
         "Tiers": ["one", "two"],
         "SomethingNew": {"a": 1},
     }  # fmt: skip
-    made.update(changes)
-    return made
+    setup.update(changes)
+    return setup
 
 
 START = [
     "sync 1000",
-    f"power_on sidecar_0 5 {json.dumps(setup())}",
-    f"power_on sidecar_1 6 {json.dumps(setup(Discovery='ask'))}",
+    f"power_on sidecar_0 5 {json.dumps(make_setup())}",
+    f"power_on sidecar_1 6 {json.dumps(make_setup(Discovery='ask'))}",
     "manifest 0 3",
     "row 10.0.0.1:80 east std 0 ready 1 -",
     "row 10.0.0.2:80 east std 0 ready 1.5 500",
@@ -61,31 +61,31 @@
 ]
 
 
-def play(lines: list[str]) -> list[str]:
+def run_wire_host(lines: list[str]) -> list[str]:
     sink = io.StringIO()
     WireHost(io.StringIO("".join(line + "\n" for line in lines)), sink).run()
     return sink.getvalue().splitlines()
 
 
-def test_several_instances_and_a_page_reused_within_a_batch() -> None:
+def test_several_instances_and_a_manifest_page_reused_within_a_batch() -> None:
     batch = [
         "sync 2000",
         "order sidecar_0 00000000000000aa look first - 500000 - 0",
         "order sidecar_1 00000000000000bb book - k-1 500000 900 1",
         "over_to_you",
     ]
-    said = play(START + batch)
-    assert "tail sidecar_1 1" in said
-    assert not any(line.startswith("tail sidecar_0") for line in said)
-    sends = [line.split(" ") for line in said if line.startswith("hand_off")]
+    output = run_wire_host(START + batch)
+    assert "tail sidecar_1 1" in output
+    assert not any(line.startswith("tail sidecar_0") for line in output)
+    sends = [line.split(" ") for line in output if line.startswith("hand_off")]
     assert [s[1:3] for s in sends] == [["sidecar_0", "00000000000000aa"], ["sidecar_1", "00000000000000bb"]]
     assert sends[0][3] in ("10.0.0.1:80", "10.0.0.2:80")
     assert sends[1][3] == "10.0.0.9:80"
-    assert said.count("finished") == 2
+    assert output.count("finished") == 2
 
 
-def test_every_event_is_taken_and_stop_then_start_forgets() -> None:
-    said = play(
+def test_every_event_is_accepted_and_a_restarted_instance_has_no_state() -> None:
+    output = run_wire_host(
         [
             *START,
             "sync 3000",
@@ -98,21 +98,21 @@
             "expired sidecar_0 00000000000000dd",
             "discovery sidecar_1 X 5 0",
             "stop sidecar_0",
-            f"power_on sidecar_0 9 {json.dumps(setup())}",
+            f"power_on sidecar_0 9 {json.dumps(make_setup())}",
             "discovery sidecar_0 C 4 0",
             "order sidecar_0 00000000000000aa look - - 500000 - 0",
             "over_to_you",
         ]
     )
-    assert sum(line.startswith("hand_off sidecar_0 00000000000000aa") for line in said) == 2
-    assert any(line.startswith("timer sidecar_1") for line in said)
-    assert not any(line.startswith("broken") for line in said)
+    assert sum(line.startswith("hand_off sidecar_0 00000000000000aa") for line in output) == 2
+    assert any(line.startswith("timer sidecar_1") for line in output)
+    assert not any(line.startswith("broken") for line in output)
 
 
-def test_exception_in_the_module_is_told() -> None:
+def test_exception_in_the_decision_module_is_reported() -> None:
     twice = ["order sidecar_0 00000000000000aa look - - 500000 - 0"] * 2
-    said = play([*START, "sync 2000", *twice, "over_to_you"])
-    assert any(line.startswith("broken sidecar_0 RuntimeError: request 00000000000000aa") for line in said)
+    output = run_wire_host([*START, "sync 2000", *twice, "over_to_you"])
+    assert any(line.startswith("broken sidecar_0 RuntimeError: request 00000000000000aa") for line in output)
 
 
 @pytest.mark.parametrize(
@@ -134,29 +134,29 @@
         ("power_on sidecar_7 5 {}", "Categories: missing"),
     ],
 )
-def test_malformed_input_names_line_and_reason(line: str, reason: str) -> None:
+def test_malformed_input_is_reported_with_line_and_reason(line: str, reason: str) -> None:
     text = "".join(part + "\n" for part in [*START, "sync 2000", line, "over_to_you"])
-    ended = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "eiderhub.wirehost"], input=text, capture_output=True, text=True, check=False
     )
-    assert ended.returncode == 1
-    assert len(ended.stderr.splitlines()) == 1
-    assert f"line {len(START) + 2}" in ended.stderr
-    assert reason in ended.stderr
-    assert ended.stdout.splitlines()[-1] == "finished"
+    assert process.returncode == 1
+    assert len(process.stderr.splitlines()) == 1
+    assert f"line {len(START) + 2}" in process.stderr
+    assert reason in process.stderr
+    assert process.stdout.splitlines()[-1] == "finished"
 
 
-@pytest.mark.parametrize("cut", [["sync 2000"], ["sync 2000", "manifest 0 2", "row 10.0.0.1:80 e s 0 ready 1 -"]])
-def test_truncated_batch_is_an_error(cut: list[str]) -> None:
+@pytest.mark.parametrize("truncated", [["sync 2000"], ["sync 2000", "manifest 0 2", "row 10.0.0.1:80 e s 0 ready 1 -"]])
+def test_truncated_batch_is_an_error(truncated: list[str]) -> None:
     with pytest.raises(WireError, match="ends inside"):
-        play(START + cut)
+        run_wire_host(START + truncated)
 
 
-def test_end_of_input_is_a_good_end() -> None:
-    ended = subprocess.run(
+def test_end_of_input_between_batches_ends_the_program_successfully() -> None:
+    process = subprocess.run(
         [sys.executable, "-m", "eiderhub.wirehost"], input="", capture_output=True, text=True, check=False
     )
-    assert (ended.returncode, ended.stdout, ended.stderr) == (0, "", "")
+    assert (process.returncode, process.stdout, process.stderr) == (0, "", "")
 
 
 def test_actions_do_not_depend_on_hash_order() -> None:
@@ -182,21 +182,21 @@
     assert len(outputs) == 1
 
 
-def test_settings_are_read_and_unknown_keys_skipped() -> None:
-    read = parse_settings(setup())
-    assert read.classes[1].effect is Effect.DEDUPLICATED
-    assert read.classes[1].dedup_scope is DedupScope.ZONE
-    assert (read.rank, read.balancers, read.tiers, read.zone) == (1, 2, 2, "east")
-    assert read.prices.cross_zone == 0.1
-    assert read.discovery is Discovery.PUSH
-    assert (read.goal.worth_weight, read.goal.class_weight) == (0.5, 0.5)
-    assert read.classes[0].allowed_zones is None
-    assert read.classes[1].allowed_zones == frozenset(("east",))
-    assert read.classes[1].allowed_machine_kinds == frozenset(("std",))
-    assert read.limits.conn_idle_us == 9_000_000
-    bare = parse_settings({"Categories": setup()["Categories"][:1]})
-    assert bare.tenants == ()
-    assert bare.limits.hedging is False
+def test_settings_are_parsed_and_unknown_keys_ignored() -> None:
+    parsed = parse_settings(make_setup())
+    assert parsed.classes[1].effect is Effect.DEDUPLICATED
+    assert parsed.classes[1].dedup_scope is DedupScope.ZONE
+    assert (parsed.rank, parsed.balancers, parsed.tiers, parsed.zone) == (1, 2, 2, "east")
+    assert parsed.prices.cross_zone == 0.1
+    assert parsed.discovery is Discovery.PUSH
+    assert (parsed.goal.worth_weight, parsed.goal.class_weight) == (0.5, 0.5)
+    assert parsed.classes[0].allowed_zones is None
+    assert parsed.classes[1].allowed_zones == frozenset(("east",))
+    assert parsed.classes[1].allowed_machine_kinds == frozenset(("std",))
+    assert parsed.limits.conn_idle_us == 9_000_000
+    minimal = parse_settings({"Categories": make_setup()["Categories"][:1]})
+    assert minimal.tenants == ()
+    assert minimal.limits.hedging is False
 
 
 @pytest.mark.parametrize(
@@ -218,6 +218,6 @@
         ({"Discovery": "guess"}, "Discovery"),
     ],
 )
-def test_impossible_settings_name_their_key(changes: dict[str, Any], key: str) -> None:
+def test_invalid_settings_are_reported_with_their_key(changes: dict[str, Any], key: str) -> None:
     with pytest.raises(ValueError, match=key):
-        parse_settings(setup(**changes))
+        parse_settings(make_setup(**changes))
