--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -13,7 +13,7 @@
 from unittest.mock import Mock
 
 from eiderhub.interface import Effect, RequestClass, Settings, Tenant
-from eiderhub.protocols.http1.server import Incoming, Server
+from eiderhub.protocols.http1.server import IncomingRequest, Server
 from eiderhub.routing.compile import plan
 from eiderhub.routing.plan import Plan, plain
 from eiderhub.routing.table import Route, read_pattern
@@ -27,15 +27,15 @@
 )
 
 
-def requests() -> list[Incoming]:
+def requests() -> list[IncomingRequest]:
     headers = [(b"Host", b"a"), (b"Req-Owner", b"acme"), (b"Req-Deadline-Ms", b"9000"), (b"Cookie", b"key=77")]
     return [
-        Incoming(b"GET", b"/look/part-%d/item?x=1" % i, [*headers, (b"Req-Id", b"%x" % i)], b"", True, 0)
+        IncomingRequest(b"GET", b"/look/part-%d/item?x=1" % i, [*headers, (b"Req-Id", b"%x" % i)], b"", True, 0)
         for i in range(ROUTES)
     ]
 
 
-def spent(server: Server, host: Any, chosen: Plan, asked: list[Incoming]) -> float:
+def spent(server: Server, host: Any, chosen: Plan, asked: list[IncomingRequest]) -> float:
     """Microseconds for one request."""
     host.plan = chosen
     server.callers.open_request_ids.clear()
--- a/benchmarks/thrift.py
+++ b/benchmarks/thrift.py
@@ -27,8 +27,8 @@
 from eiderhub.config.write import outcome
 from eiderhub.protocols.thrift import binary, messages
 from eiderhub.protocols.thrift.convert import convert, with_seqid
-from eiderhub.protocols.thrift.frames import FrameReader, framed
-from eiderhub.protocols.thrift.wire import Encoding, Kind, T
+from eiderhub.protocols.thrift.definitions import Encoding, MessageType, TType
+from eiderhub.protocols.thrift.framing import FrameReader, framed
 from standins.discovery import row
 from standins.program import running
 
@@ -86,19 +86,19 @@
 def struct_of_a_kibibyte() -> bytes:
     """An order of sixteen lines, in binary."""
     line = (
-        put(T.I32, 1, binary.I32.pack(70_000)) + put(T.DOUBLE, 2, binary.DOUBLE.pack(12.5)) + put(T.BOOL, 3, b"\1")
-        + put(T.STRING, 4, text(b"chain 11s")) + b"\0"
+        put(TType.I32, 1, binary.I32.pack(70_000)) + put(TType.DOUBLE, 2, binary.DOUBLE.pack(12.5))
+        + put(TType.BOOL, 3, b"\1") + put(TType.STRING, 4, text(b"chain 11s")) + b"\0"
     )  # fmt: skip
-    lines = bytes((T.STRUCT,)) + binary.U32.pack(16) + line * 16
-    counts = bytes((T.STRING, T.I64)) + binary.U32.pack(4) + (text(b"bay-7") + binary.I64.pack(1 << 40)) * 4
+    lines = bytes((TType.STRUCT,)) + binary.U32.pack(16) + line * 16
+    counts = bytes((TType.STRING, TType.I64)) + binary.U32.pack(4) + (text(b"bay-7") + binary.I64.pack(1 << 40)) * 4
     return (
-        put(T.I32, 1, binary.I32.pack(9000)) + put(T.STRING, 2, text(b"k" * 32)) + put(T.LIST, 3, lines)
-        + put(T.MAP, 4, counts) + put(T.STRING, 5, text(b"x" * 100)) + b"\0"
+        put(TType.I32, 1, binary.I32.pack(9000)) + put(TType.STRING, 2, text(b"k" * 32)) + put(TType.LIST, 3, lines)
+        + put(TType.MAP, 4, counts) + put(TType.STRING, 5, text(b"x" * 100)) + b"\0"
     )  # fmt: skip
 
 
-def message(encoding: Encoding, kind: Kind) -> bytes:
-    whole = binary.write_header(kind, b"look", 1) + put(T.STRUCT, 1, struct_of_a_kibibyte()) + b"\0"
+def message(encoding: Encoding, message_type: MessageType) -> bytes:
+    whole = binary.write_header(message_type, b"look", 1) + put(TType.STRUCT, 1, struct_of_a_kibibyte()) + b"\0"
     return convert(whole, messages.read_header(whole, Encoding.BINARY), encoding, 1)
 
 
@@ -123,7 +123,7 @@
 
     def __init__(self, encoding: Encoding) -> None:
         self.encoding = encoding
-        self.reply = message(encoding, Kind.REPLY)
+        self.reply = message(encoding, MessageType.REPLY)
         self.header = messages.read_header(self.reply, encoding)
         self.frames = FrameReader()
 
@@ -178,8 +178,8 @@
         return 0
     size = 4 + int.from_bytes(got[:4], "big")
     if len(got) >= size:
-        header = messages.read_header(got[4:size], messages.encoding_of(got[4:size]))
-        if header.kind is not Kind.REPLY:
+        header = messages.read_header(got[4:size], messages.detect_encoding(got[4:size]))
+        if header.message_type is not MessageType.REPLY:
             raise SystemExit(f"Thrift: {messages.read_exception(got[4:size], header)}")
     return size
 
@@ -227,7 +227,7 @@
 
 
 def thrift_requests(encoding: Encoding) -> Callable[[], Callable[[], bytes]]:
-    call = framed(message(encoding, Kind.CALL))
+    call = framed(message(encoding, MessageType.CALL))
     return lambda: lambda: call
 
 
--- a/eiderhub/config/explain.py
+++ b/eiderhub/config/explain.py
@@ -129,20 +129,21 @@
 
 
 def _thrift_facts(options: Any) -> list[Fact]:
-    encoding = options.encoding.name.lower() if options.encoding is not None else "the caller's"
-    time = show_duration(options.deadline_us) if options.deadline_us else "the class's"
+    encoding = options.endpoint_encoding.name.lower() if options.endpoint_encoding is not None else "the caller's"
+    time = show_duration(options.default_deadline_us) if options.default_deadline_us else "the class's"
     told = {
         "listens on": f"{options.host}:{options.port}",
-        "speaks to endpoints in": f"what they state, else {encoding}" if options.stated else encoding,
-        "takes frames up to": show_size(options.most),
+        "speaks to endpoints in": f"what they state, else {encoding}" if options.encoding_from_labels else encoding,
+        "takes frames up to": show_size(options.max_frame_bytes),
         "answers": "in order" if options.in_order else "as ready",
-        "has calls out on one connection": str(options.calls),
-        "lets callers be idle for": show_duration(options.idle_us),
-        "gives calls that tell none the tenant": options.tenant or "none: they are turned away",
+        "has calls out on one connection": str(options.max_pending_calls),
+        "lets callers be idle for": show_duration(options.idle_timeout_us),
+        "gives calls that tell none the tenant": options.default_tenant or "none: they are turned away",
         "gives calls that tell none the time": time,
-        "takes for turned away unrun the exceptions": ", ".join(map(str, sorted(options.shedding))) or "none",
+        "takes for turned away unrun the exceptions": ", ".join(map(str, sorted(options.shed_exception_types)))
+        or "none",
     }
-    told.update({f"reads {name} at": ".".join(map(str, path)) for name, path in sorted(options.fields.items())})
+    told.update({f"reads {name} at": ".".join(map(str, path)) for name, path in sorted(options.field_paths.items())})
     return [Fact("the Thrift port", what, value, True) for what, value in told.items()]
 
 
--- a/eiderhub/protocols/http1/client.py
+++ b/eiderhub/protocols/http1/client.py
@@ -15,7 +15,7 @@
 MAX_BODY = 64 * 1024  # bytes: more than the protocol allows is no answer
 MAX_HEAD = 16 * 1024  # bytes of a head, with all interim answers before it
 # Some endpoints answer twice, some milliseconds apart: written to sooner, a request would get the copy for its answer.
-SETTLE_US = 10_000
+REUSE_DELAY_US = 10_000
 
 # Headers that belong to one connection, and not to the message: RFC 9110, 7.6.1.
 HOP_BY_HOP = frozenset(
@@ -48,7 +48,7 @@
     else ends the exchange at once, and the connection with it: nobody can tell what its next bytes belong to.
     """
 
-    reuse_delay_us = SETTLE_US
+    reuse_delay_us = REUSE_DELAY_US
 
     def __init__(self, owner: ConnectionOwner, budget: ByteBudget, max_body: int = MAX_BODY) -> None:
         super().__init__(owner)
@@ -177,7 +177,7 @@
 HTTP1 = Connection.protocol = Http1()
 
 
-class Exchange:
+class RequestPayload:
     """A request as it goes out: the time that is left is told anew with each attempt."""
 
     __slots__ = ("body", "head")
--- a/eiderhub/protocols/http1/server.py
+++ b/eiderhub/protocols/http1/server.py
@@ -9,7 +9,7 @@
 import httptools
 
 from eiderhub.interface import Effect, RequestClass
-from eiderhub.protocols.http1.client import HOP_BY_HOP, Exchange, Response
+from eiderhub.protocols.http1.client import HOP_BY_HOP, RequestPayload, Response
 from eiderhub.routing.target import Asked, Refused, segments_of
 from eiderhub.sidecar.callers import BaseCallerConnection, Callers
 from eiderhub.sidecar.clock import now_us
@@ -19,10 +19,12 @@
 MAX_BODY = 64 * 1024
 MAX_HEAD = 16 * 1024
 HEADER_COST = 32  # bytes that each header counts beside its own: tiny ones fill the memory with objects
-MAX_BEHIND = 64 * 1024  # bytes read behind requests that wait: read on, for a caller's end is heard by reading alone
+MAX_UNPARSED_BYTES = (
+    64 * 1024
+)  # bytes read behind requests that wait: read on, for a caller's end is heard by reading alone
 MAX_WAITING = 4  # requests of one caller that wait for the answer before: callers send one at a time
 MAX_DEADLINE_MS = 3_600_000
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024
 BUSY_WAIT = b"1"  # Retry-After where no memory is left
 REASONS = {  # of every status that is answered; `http` would bring sixty more, and their memory
     200: b"OK",
@@ -48,7 +50,7 @@
         b"x-original-uri",
     )
 )  # fmt: skip
-FAILURES = {FailureReason.ENDPOINT_ERROR: 502, FailureReason.TIMED_OUT: 504, FailureReason.INTERNAL_ERROR: 500}
+STATUS_BY_FAILURE = {FailureReason.ENDPOINT_ERROR: 502, FailureReason.TIMED_OUT: 504, FailureReason.INTERNAL_ERROR: 500}
 log = logging.getLogger(__name__)
 
 
@@ -60,7 +62,7 @@
         self.status = status
 
 
-class Incoming(NamedTuple):
+class IncomingRequest(NamedTuple):
     """A request as it came."""
 
     method: bytes
@@ -79,10 +81,10 @@
         self.server = server
         self.current: Request | None = None
         self.request_id = b""
-        self.waiting: list[Incoming] = []  # whole, but not yet admitted
+        self.queued_requests: list[IncomingRequest] = []  # whole, but not yet admitted
         self.keep = True
         self.fault: Rejected | None = None
-        self._behind = bytearray()  # what came behind those
+        self._unparsed = bytearray()  # what came behind those
         self._body = bytearray()
         self._in_head = True
         self._head_fed = 0  # bytes of a head that has not come whole; the parser keeps what has no end yet
@@ -93,7 +95,7 @@
     def data_received(self, data: bytes) -> None:
         if self.input_closed or self._parser is None:
             return
-        if self.waiting:
+        if self.queued_requests:
             self._keep_for_later(data)
         else:
             self._feed(data)
@@ -103,8 +105,8 @@
             self.stop(Rejected(503, "no memory is left"))
             return
         self.reserved_bytes += len(data)
-        self._behind += data
-        if len(self._behind) >= MAX_BEHIND:
+        self._unparsed += data
+        if len(self._unparsed) >= MAX_UNPARSED_BYTES:
             self.set_reading(False)
 
     def _feed(self, data: bytes) -> None:
@@ -119,7 +121,7 @@
             return
         # Guards against a line without end: the parser hands on nothing of it before it ends.
         self._head_fed = self._head_fed + len(data) if was_in_head and self._in_head else 0
-        if self._head_fed > MAX_HEAD and not self.waiting:
+        if self._head_fed > MAX_HEAD and not self.queued_requests:
             self.stop(Rejected(431, "the headers are too long"))
             return
         self._serve_next()
@@ -138,8 +140,8 @@
         self.stop(Rejected(408, "the request did not come whole"))
 
     def on_disconnect(self) -> None:
-        self.waiting.clear()
-        self._behind = bytearray()
+        self.queued_requests.clear()
+        self._unparsed = bytearray()
         self._parser = None  # it holds this connection in turn: a cycle, which is rarely collected
         current, self.current = self.current, None
         if current is not None:
@@ -196,26 +198,28 @@
         parser = self._parser
         assert parser is not None
         self.receiving, self._in_head = False, True
-        if len(self.waiting) >= MAX_WAITING:
+        if len(self.queued_requests) >= MAX_WAITING:
             self._fault(400, "too many requests at once")
         keep = parser.should_keep_alive() and not parser.should_upgrade()
-        self.waiting.append(Incoming(parser.get_method(), self._url, self._headers, bytes(self._body), keep, now_us()))
+        self.queued_requests.append(
+            IncomingRequest(parser.get_method(), self._url, self._headers, bytes(self._body), keep, now_us())
+        )
 
     # --- one request after another ---
 
     @property
     def answering(self) -> bool:
-        return self.current is not None or bool(self.waiting or self._behind)
+        return self.current is not None or bool(self.queued_requests or self._unparsed)
 
     def _serve_next(self) -> None:
         """Serve what waits, once the read that brought it is parsed whole and nothing is in the way."""
-        if self.waiting and self.current is None and not self.write_blocked and not self.disconnected:
-            self._serve(self.waiting.pop(0))
-        if self._behind and not self.waiting and not self.input_closed:
-            behind, self._behind = bytes(self._behind), bytearray()
+        if self.queued_requests and self.current is None and not self.write_blocked and not self.disconnected:
+            self._serve(self.queued_requests.pop(0))
+        if self._unparsed and not self.queued_requests and not self.input_closed:
+            behind, self._unparsed = bytes(self._unparsed), bytearray()
             self._feed(behind)
 
-    def _serve(self, incoming: Incoming) -> None:
+    def _serve(self, incoming: IncomingRequest) -> None:
         self.keep = incoming.keep
         try:
             if self.is_over_limit and incoming.url != b"/up":
@@ -237,8 +241,8 @@
 
     def _reject(self, fault: Rejected) -> None:
         self.keep = False
-        self.waiting.clear()
-        self._behind = bytearray()
+        self.queued_requests.clear()
+        self._unparsed = bytearray()
         self.input_closed = True
         headers = [(b"Retry-After", BUSY_WAIT)] if fault.status == 503 else []
         self.answer(fault.status, headers, f"{fault}\n".encode())
@@ -252,17 +256,17 @@
         self.answer(503, [(b"Retry-After", b"%.3f" % (wait_us / 1e6))] if wait_us > 0 else [], b"")
 
     def send_failure(self, why: FailureReason) -> None:
-        self.answer(FAILURES[why], [], b"")
+        self.answer(STATUS_BY_FAILURE[why], [], b"")
 
     def answer(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
         """Write an answer; the connection closes after it where the caller, the input or our end asks so."""
         if self.current is not None:
             self.current = None
             self._forget()
-        if not self.waiting and not self.receiving and not self._behind:
+        if not self.queued_requests and not self.receiving and not self._unparsed:
             self.release_budget()
         # Rule 1: what waits behind this request was taken too, so it is answered even while we drain.
-        keep = self.keep and (bool(self.waiting or self._behind) or not self.callers.closing)
+        keep = self.keep and (bool(self.queued_requests or self._unparsed) or not self.callers.closing)
         lines = [b"HTTP/1.1 %d %s" % (status, REASONS.get(status, b"Other")), b"Content-Length: %d" % len(body)]
         lines += [b"%s: %s" % header for header in headers if header[0].lower() not in HOP_BY_HOP]
         if not keep:
@@ -277,7 +281,7 @@
         self.callers.open_request_ids.discard(self.request_id)
 
     def _next(self) -> None:
-        if self.waiting:
+        if self.queued_requests:
             # Later: the answer may have come from within a call that still works on the last request.
             asyncio.get_running_loop().call_soon(self.resume)
         elif not self.busy:
@@ -285,12 +289,12 @@
 
     def resume(self) -> None:
         self._serve_next()
-        if not self.waiting and not self.write_blocked:
+        if not self.queued_requests and not self.write_blocked:
             self.set_reading(True)
 
     def _finish(self) -> None:
         unread = self.input_closed or self.receiving
-        self.waiting.clear()
+        self.queued_requests.clear()
         self._body = bytearray()
         self.release_budget()
         self.finish(unread)
@@ -309,12 +313,12 @@
         """Take the address; connections wait until the module has started."""
         loop = asyncio.get_running_loop()
         self.listener = await loop.create_server(
-            lambda: CallerConnection(self), host, port, backlog=BACKLOG, start_serving=False
+            lambda: CallerConnection(self), host, port, backlog=LISTEN_BACKLOG, start_serving=False
         )
 
     # --- reading a request ---
 
-    def admit(self, caller: CallerConnection, incoming: Incoming) -> Request | None:
+    def admit(self, caller: CallerConnection, incoming: IncomingRequest) -> Request | None:
         """The request to take, or None where it is answered already."""
         path, _, query = incoming.url.partition(b"?")
         if path == b"/up":
@@ -340,7 +344,7 @@
             raise Rejected(400, "req-owner: missing or unknown")
         return self._request(caller, incoming, grade, tenant, fields, head)
 
-    def _up(self, caller: CallerConnection, incoming: Incoming) -> None:
+    def _up(self, caller: CallerConnection, incoming: IncomingRequest) -> None:
         if incoming.method != b"GET":
             raise Rejected(405, "GET only")
         caller.answer(200 if self.host.ready and not self.callers.draining else 503, [], b"")
@@ -348,7 +352,7 @@
     def _request(
         self,
         caller: CallerConnection,
-        incoming: Incoming,
+        incoming: IncomingRequest,
         grade: RequestClass,
         tenant: str | None,
         fields: dict[bytes, bytes],
@@ -381,7 +385,7 @@
             tenant,
             hint_us,
             incoming.arrived_us + wait_us,
-            Exchange(b"".join(head), incoming.body),
+            RequestPayload(b"".join(head), incoming.body),
         )
 
 
@@ -423,7 +427,7 @@
         """Whether endpoints and the sidecar must agree on it."""
         return key in GIVEN_ONCE or key in self.routed or key.startswith(b"req-")
 
-    def read(self, incoming: Incoming) -> tuple[dict[bytes, bytes], list[bytes]]:
+    def read(self, incoming: IncomingRequest) -> tuple[dict[bytes, bytes], list[bytes]]:
         """The headers by name in lower case, and the lines that go on; what has two readings is refused."""
         fields: dict[bytes, bytes] = {}
         head = [b"%s %s HTTP/1.1\r\n" % (incoming.method, incoming.url)]
@@ -446,7 +450,7 @@
         return fields, head
 
 
-def _check_method(incoming: Incoming, grade: RequestClass, fields: dict[bytes, bytes]) -> None:
+def _check_method(incoming: IncomingRequest, grade: RequestClass, fields: dict[bytes, bytes]) -> None:
     """PROTOCOL: method, key and body follow from the class. One that differs was meant as another class."""
     harmless = grade.effect is Effect.IDEMPOTENT
     if incoming.method != (b"GET" if harmless else b"POST"):
--- a/eiderhub/protocols/thrift/plan.py
+++ b/eiderhub/protocols/thrift/admission.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass, field
 
 from eiderhub.interface import Effect, RequestClass
-from eiderhub.protocols.thrift import paths
-from eiderhub.protocols.thrift.answers import NO_SHEDDING, strip_service
-from eiderhub.protocols.thrift.paths import Tree, Value
-from eiderhub.protocols.thrift.wire import MAX_FRAME, Encoding, Failure, Header, Kind
+from eiderhub.protocols.thrift import field_paths
+from eiderhub.protocols.thrift.definitions import MAX_FRAME, Encoding, ExceptionType, MessageHeader, MessageType
+from eiderhub.protocols.thrift.field_paths import Tree, Value
+from eiderhub.protocols.thrift.replies import NO_SHEDDING, strip_service
 from eiderhub.routing.plan import Plan
 from eiderhub.routing.target import Asked
 
@@ -23,21 +23,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Options:
+class ListenerOptions:
     """A listener, as the operator's file has it."""
 
     host: str
     port: int
-    encoding: Encoding | None = None  # that endpoints speak; None: the caller's own
-    stated: bool = False  # an endpoint's label `thrift=binary` or `thrift=compact` stands above that
-    idle_us: int = 300_000_000  # how long a caller may ask for nothing: Thrift's clients do not connect anew unasked
-    most: int = MAX_FRAME  # bytes of a frame, either way
+    endpoint_encoding: Encoding | None = None  # that endpoints speak; None: the caller's own
+    encoding_from_labels: bool = False  # an endpoint's label `thrift=binary` or `thrift=compact` stands above that
+    # How long a caller may ask for nothing: Thrift's clients do not connect anew unasked.
+    idle_timeout_us: int = 300_000_000
+    max_frame_bytes: int = MAX_FRAME  # bytes of a frame, either way
     in_order: bool = True  # answers leave in the order of the calls, for clients that match no sequence ids
-    calls: int = 16  # that one connection may have out at a time
-    tenant: str | None = None  # of all calls on it, where no field tells
-    deadline_us: int = 0  # a caller's time, where no field tells; 0: the class's own
-    fields: Mapping[str, tuple[int, ...]] = field(default_factory=dict)  # by what they tell: their path
-    shedding: frozenset[int] = NO_SHEDDING  # types of exceptions by which endpoints turn calls away, unrun
+    max_pending_calls: int = 16  # that one connection may have out at a time
+    default_tenant: str | None = None  # of all calls on it, where no field tells
+    default_deadline_us: int = 0  # a caller's time, where no field tells; 0: the class's own
+    field_paths: Mapping[str, tuple[int, ...]] = field(default_factory=dict)  # by what they tell: their path
+    shed_exception_types: frozenset[int] = NO_SHEDDING  # types of exceptions by which endpoints turn calls away, unrun
 
 
 class NotTaken(Exception):
@@ -62,22 +63,26 @@
 class Reader:
     """Reads calls of one listener."""
 
-    def __init__(self, options: Options, tenants: Mapping[bytes, str]) -> None:
+    def __init__(self, options: ListenerOptions, tenants: Mapping[bytes, str]) -> None:
         self.options = options
         self.tenants = tenants
-        self.tree: Tree | None = paths.tree(options.fields.items()) if options.fields else None
+        self.tree: Tree | None = field_paths.tree(options.field_paths.items()) if options.field_paths else None
 
-    def admit(self, plan: Plan, message: bytes, header: Header) -> Admitted:
+    def admit(self, plan: Plan, message: bytes, header: MessageHeader) -> Admitted:
         """Raises NotTaken for what is well-formed and can't be taken, and Malformed for what can't be read."""
-        if header.kind not in (Kind.CALL, Kind.ONEWAY):
-            raise NotTaken(Failure.INVALID_MESSAGE_TYPE, f"a message of type {int(header.kind)} is no call")
-        found = paths.read(message, header, self.tree) if self.tree is not None else {}
+        if header.message_type not in (MessageType.CALL, MessageType.ONEWAY):
+            raise NotTaken(
+                ExceptionType.INVALID_MESSAGE_TYPE, f"a message of type {int(header.message_type)} is no call"
+            )
+        found = field_paths.read(message, header, self.tree) if self.tree is not None else {}
         tenant = self._tenant(found)
         grade = self._grade(plan, header.name, tenant)
         if grade is None:
-            raise NotTaken(Failure.UNKNOWN_METHOD, "no route takes this call")
-        if header.kind is Kind.ONEWAY and grade.effect is Effect.DEDUPLICATED:
-            raise NotTaken(Failure.INVALID_MESSAGE_TYPE, "a oneway call of a keyed class: nobody would learn of it")
+            raise NotTaken(ExceptionType.UNKNOWN_METHOD, "no route takes this call")
+        if header.message_type is MessageType.ONEWAY and grade.effect is Effect.DEDUPLICATED:
+            raise NotTaken(
+                ExceptionType.INVALID_MESSAGE_TYPE, "a oneway call of a keyed class: nobody would learn of it"
+            )
         self._check_key(grade, found)
         return Admitted(
             grade.name,
@@ -105,24 +110,24 @@
     def _tenant(self, found: Mapping[str, Value]) -> str | None:
         told = found.get(TENANT)
         if told is None:
-            if self.options.tenant is None and self.tenants:
-                raise NotTaken(Failure.PROTOCOL_ERROR, "tenant: missing")
-            return self.options.tenant
+            if self.options.default_tenant is None and self.tenants:
+                raise NotTaken(ExceptionType.PROTOCOL_ERROR, "tenant: missing")
+            return self.options.default_tenant
         tenant = self.tenants.get(told) if isinstance(told, bytes) else None
         if tenant is None and self.tenants:  # each unknown name would get a budget, and memory, of its own
-            raise NotTaken(Failure.PROTOCOL_ERROR, "tenant: unknown")
+            raise NotTaken(ExceptionType.PROTOCOL_ERROR, "tenant: unknown")
         return tenant
 
     def _check_key(self, grade: RequestClass, found: Mapping[str, Value]) -> None:
         """A keyed class needs a key where the operator has named its place: without one repeats are not dropped."""
         if grade.effect is not Effect.DEDUPLICATED:
             return
-        if KEY in self.options.fields and not _identifier(found, KEY):
-            raise NotTaken(Failure.PROTOCOL_ERROR, "key: missing")
+        if KEY in self.options.field_paths and not _identifier(found, KEY):
+            raise NotTaken(ExceptionType.PROTOCOL_ERROR, "key: missing")
 
     def _wait_us(self, plan: Plan, grade: RequestClass, found: Mapping[str, Value]) -> int:
         told = _number(found, DEADLINE, MAX_DEADLINE_MS)
-        wait_us = told * 1000 if told is not None else self.options.deadline_us or grade.deadline_us
+        wait_us = told * 1000 if told is not None else self.options.default_deadline_us or grade.deadline_us
         return min(wait_us, plan.tighter_us.get(grade.name, wait_us))
 
 
@@ -131,7 +136,7 @@
     if value is None:
         return None
     if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= most:
-        raise NotTaken(Failure.PROTOCOL_ERROR, f"{name}: no number within its range")
+        raise NotTaken(ExceptionType.PROTOCOL_ERROR, f"{name}: no number within its range")
     return value
 
 
@@ -141,8 +146,8 @@
     if value is None:
         return b""
     if isinstance(value, bool | float):
-        raise NotTaken(Failure.PROTOCOL_ERROR, f"{name}: neither text nor a whole number")
+        raise NotTaken(ExceptionType.PROTOCOL_ERROR, f"{name}: neither text nor a whole number")
     told = b"%d" % value if isinstance(value, int) else value
     if not 0 < len(told) <= MAX_ID:
-        raise NotTaken(Failure.PROTOCOL_ERROR, f"{name}: empty or too long")
+        raise NotTaken(ExceptionType.PROTOCOL_ERROR, f"{name}: empty or too long")
     return told
--- a/eiderhub/protocols/thrift/client.py
+++ b/eiderhub/protocols/thrift/client.py
@@ -6,12 +6,12 @@
 from typing import Any
 
 from eiderhub.interface import LoadReport, Outcome
-from eiderhub.protocols.thrift import answers
+from eiderhub.protocols.thrift import replies
+from eiderhub.protocols.thrift.admission import ListenerOptions
 from eiderhub.protocols.thrift.convert import convert, with_seqid
-from eiderhub.protocols.thrift.frames import FrameReader, framed
+from eiderhub.protocols.thrift.definitions import MAX_FRAME, Encoding, MalformedMessage, MessageHeader, MessageType
+from eiderhub.protocols.thrift.framing import FrameReader, framed
 from eiderhub.protocols.thrift.messages import read_header
-from eiderhub.protocols.thrift.plan import Options
-from eiderhub.protocols.thrift.wire import MAX_FRAME, Encoding, Header, Kind, Malformed
 from eiderhub.sidecar.clock import now_us
 from eiderhub.sidecar.protocol_interface import NO_REPLY, ConnectionOwner, EndpointConnection
 from eiderhub.sidecar.resource_limits import ByteBudget
@@ -25,7 +25,7 @@
 
     __slots__ = ("header", "message")
 
-    def __init__(self, message: bytes, header: Header) -> None:
+    def __init__(self, message: bytes, header: MessageHeader) -> None:
         self.message = message
         self.header = header
 
@@ -38,7 +38,7 @@
     """The way to speak Thrift to the endpoints of a listener: their encoding, and what they mean by shedding load."""
 
     def __init__(
-        self, encoding: Encoding, shedding: frozenset[int] = answers.NO_SHEDDING, most: int = MAX_FRAME
+        self, encoding: Encoding, shedding: frozenset[int] = replies.NO_SHEDDING, most: int = MAX_FRAME
     ) -> None:
         self.encoding = encoding
         self.shedding = shedding
@@ -56,14 +56,14 @@
         return Connection(owner, budget, self)
 
 
-def wires(options: Options) -> dict[Encoding, Thrift]:
+def wires(options: ListenerOptions) -> dict[Encoding, Thrift]:
     """By the caller's encoding: how its calls go on."""
-    found = {e: Thrift(e, options.shedding, options.most) for e in Encoding}
-    if options.stated:
+    found = {e: Thrift(e, options.shed_exception_types, options.max_frame_bytes) for e in Encoding}
+    if options.encoding_from_labels:
         labels = {f"thrift={e.name.lower()}": wire for e, wire in found.items()}
         for wire in found.values():
             wire.stated = labels
-    return {e: found[options.encoding if options.encoding is not None else e] for e in Encoding}
+    return {e: found[options.endpoint_encoding if options.endpoint_encoding is not None else e] for e in Encoding}
 
 
 class Call:
@@ -71,7 +71,7 @@
 
     __slots__ = ("_made", "header", "protocol", "unknown", "unsayable")
 
-    def __init__(self, message: bytes, header: Header, wire: Thrift) -> None:
+    def __init__(self, message: bytes, header: MessageHeader, wire: Thrift) -> None:
         """Raises Malformed where it has to be converted and can't be: the caller's fault, and no endpoint's."""
         self.header = header
         self.protocol = wire
@@ -83,7 +83,7 @@
 
     @property
     def oneway(self) -> bool:
-        return self.header.kind is Kind.ONEWAY
+        return self.header.message_type is MessageType.ONEWAY
 
     def data(self, left_ms: int) -> Call:
         """Thrift's header has no place for the time that is left."""
@@ -94,14 +94,14 @@
         if encoding not in self._made:
             try:
                 self._made[encoding] = _converted(*self._made[self.header.encoding], encoding)
-            except Malformed:
+            except MalformedMessage:
                 self.unsayable = True
                 raise
         message, header = self._made[encoding]
         return with_seqid(message, header, seqid)
 
 
-def _converted(message: bytes, header: Header, to: Encoding) -> tuple[bytes, Header]:
+def _converted(message: bytes, header: MessageHeader, to: Encoding) -> tuple[bytes, MessageHeader]:
     made = convert(message, header, to, header.seqid)
     return made, read_header(made, to)
 
@@ -149,7 +149,7 @@
     def outcome(self, reply: Any) -> Outcome:
         if reply is NO_REPLY:
             return Outcome.OK
-        return answers.judge(reply.message, reply.header, self.protocol.shedding)
+        return replies.judge(reply.message, reply.header, self.protocol.shedding)
 
     def data_received(self, data: bytes) -> None:
         if self.closed:
@@ -159,7 +159,7 @@
             return
         try:
             frames = self._frames.feed(data)
-        except Malformed:
+        except MalformedMessage:
             self.fail()
             return
         if not frames:
@@ -187,10 +187,10 @@
         assert self.call is not None
         try:
             header = read_header(message, self.protocol.encoding)
-        except Malformed:
+        except MalformedMessage:
             self.fail()
             return
-        if not answers.answers(self.call.header, self.seqid, header):
+        if not replies.answers(self.call.header, self.seqid, header):
             self.fail()
             return
         attempt, call = self.attempt, self.call
--- a/eiderhub/protocols/thrift/compact.py
+++ b/eiderhub/protocols/thrift/compact.py
@@ -7,7 +7,14 @@
 from typing import Final
 
 from eiderhub.protocols.thrift.binary import SHORT, Patterns
-from eiderhub.protocols.thrift.wire import MAX_DEPTH, MAX_NAME, Encoding, Header, Kind, Malformed
+from eiderhub.protocols.thrift.definitions import (
+    MAX_DEPTH,
+    MAX_NAME,
+    Encoding,
+    MalformedMessage,
+    MessageHeader,
+    MessageType,
+)
 
 PROTOCOL: Final = 0x82
 VERSION: Final = 1
@@ -50,7 +57,7 @@
     value = shift = 0
     while True:
         if at >= size:
-            raise Malformed("a number that ends past its frame")
+            raise MalformedMessage("a number that ends past its frame")
         byte = frame[at]
         at += 1
         value |= (byte & 0x7F) << shift
@@ -58,9 +65,9 @@
             break
         shift += 7
         if shift >= bits:
-            raise Malformed(f"a number of more than {bits} bits")
+            raise MalformedMessage(f"a number of more than {bits} bits")
     if value >> bits:
-        raise Malformed(f"a number of more than {bits} bits")
+        raise MalformedMessage(f"a number of more than {bits} bits")
     return value, at
 
 
@@ -90,22 +97,22 @@
     return put_varint(value << 1 if value >= 0 else (-value << 1) - 1)
 
 
-def read_header(frame: bytes) -> Header:
+def read_header(frame: bytes) -> MessageHeader:
     if len(frame) < 4:
-        raise Malformed("a message that ends in its header")
+        raise MalformedMessage("a message that ends in its header")
     if frame[0] != PROTOCOL:
-        raise Malformed("no compact message")
+        raise MalformedMessage("no compact message")
     version, kind = frame[1] & 0x1F, frame[1] >> 5
     if version != VERSION:
-        raise Malformed(f"version {version} of the compact encoding is not known")
+        raise MalformedMessage(f"version {version} of the compact encoding is not known")
     if not 1 <= kind <= 4:
-        raise Malformed(f"a message of type {kind}")
+        raise MalformedMessage(f"a message of type {kind}")
     unsigned, seqid_end = varint(frame, 2, 32)
     length, at = varint(frame, seqid_end, 32)
     if length > MAX_NAME or at + length > len(frame):
-        raise Malformed("the method's name is too long")
+        raise MalformedMessage("the method's name is too long")
     seqid = unsigned - (1 << 32) if unsigned >> 31 else unsigned
-    return Header(Encoding.COMPACT, Kind(kind), frame[at : at + length], seqid, 2, seqid_end, at + length)
+    return MessageHeader(Encoding.COMPACT, MessageType(kind), frame[at : at + length], seqid, 2, seqid_end, at + length)
 
 
 def write_header(kind: int, name: bytes, seqid: int) -> bytes:
@@ -122,14 +129,14 @@
     fixed = FIXED.get(kind)
     if fixed is not None:
         if at + fixed > len(frame):
-            raise Malformed("a value that ends past its frame")
+            raise MalformedMessage("a value that ends past its frame")
         return at + fixed
     if bits := VARINTS.get(kind):
         return varint(frame, at, bits)[1]
     if kind == BINARY:
         return string_end(frame, at)[1]
     if depth >= MAX_DEPTH:
-        raise Malformed(f"more than {MAX_DEPTH} levels within each other")
+        raise MalformedMessage(f"more than {MAX_DEPTH} levels within each other")
     if kind == STRUCT:
         return skip_struct(frame, at, depth + 1)
     if kind in (LIST, SET):
@@ -146,13 +153,13 @@
         for _ in range(count):
             at = skip(frame, skip(frame, at, key, depth + 1), value, depth + 1)
         return at
-    raise Malformed(f"type {kind} is not known")
+    raise MalformedMessage(f"type {kind} is not known")
 
 
 def _skip_structs(frame: bytes, at: int, count: int, depth: int) -> int:
     """Where so many structs end; `depth` is that within them."""
     if depth > MAX_DEPTH:
-        raise Malformed(f"more than {MAX_DEPTH} levels within each other")
+        raise MalformedMessage(f"more than {MAX_DEPTH} levels within each other")
     while count:
         count, at = PATTERNS.structs(frame, at, count)
         for _ in range(min(count, 8)):
@@ -181,13 +188,13 @@
     `last` is the id of the field before it in the same struct, 0 for the first: ids are told as steps.
     """
     if at >= len(frame):
-        raise Malformed("a struct without its stop")
+        raise MalformedMessage("a struct without its stop")
     byte = frame[at]
     at += 1
     kind, step = byte & 0x0F, byte >> 4
     if not kind:
         if step:
-            raise Malformed("a stop that steps to a field")
+            raise MalformedMessage("a stop that steps to a field")
         return 0, 0, at
     if step:
         number = last + step
@@ -195,7 +202,7 @@
         unsigned, at = varint(frame, at, 16)
         number = zigzag(unsigned)
     if number > 0x7FFF:
-        raise Malformed("a field id of more than 16 bits")
+        raise MalformedMessage("a field id of more than 16 bits")
     return kind, number, at
 
 
@@ -203,7 +210,7 @@
     """Where a string's bytes begin and end."""
     length, begin = varint(frame, at, 32)
     if length > len(frame) - begin:
-        raise Malformed("a string that ends past its frame")
+        raise MalformedMessage("a string that ends past its frame")
     return begin, begin + length
 
 
@@ -213,7 +220,7 @@
     The claim is held against what is left of the frame, so no loop over it outlasts the bytes that came.
     """
     if at >= len(frame):
-        raise Malformed("a container that ends in its header")
+        raise MalformedMessage("a container that ends in its header")
     element, count = frame[at] & 0x0F, frame[at] >> 4
     at += 1
     if count == 15:
@@ -231,7 +238,7 @@
     if not count:
         return 0, 0, 0, at
     if at >= len(frame):
-        raise Malformed("a container that ends in its header")
+        raise MalformedMessage("a container that ends in its header")
     key, value = frame[at] >> 4, frame[at] & 0x0F
     at += 1
     known = key in LEAST and value in LEAST
@@ -243,6 +250,6 @@
     if not count:
         return
     if not least:
-        raise Malformed("a container of a type that is not known")
+        raise MalformedMessage("a container of a type that is not known")
     if count * least > left:
-        raise Malformed("a container that claims more than its frame holds")
+        raise MalformedMessage("a container that claims more than its frame holds")
--- a/eiderhub/protocols/thrift/convert.py
+++ b/eiderhub/protocols/thrift/convert.py
@@ -12,28 +12,28 @@
 from struct import error as struct_error
 
 from eiderhub.protocols.thrift import binary, compact
-from eiderhub.protocols.thrift.wire import MAX_DEPTH, Encoding, Header, Malformed, T
+from eiderhub.protocols.thrift.definitions import MAX_DEPTH, Encoding, MalformedMessage, MessageHeader, TType
 
 TO_COMPACT: dict[int, int] = {
-    T.BOOL: compact.TRUE,
-    T.BYTE: compact.BYTE,
-    T.DOUBLE: compact.DOUBLE,
-    T.I16: compact.I16,
-    T.I32: compact.I32,
-    T.I64: compact.I64,
-    T.STRING: compact.BINARY,
-    T.STRUCT: compact.STRUCT,
-    T.MAP: compact.MAP,
-    T.SET: compact.SET,
-    T.LIST: compact.LIST,
-    T.UUID: compact.UUID,
+    TType.BOOL: compact.TRUE,
+    TType.BYTE: compact.BYTE,
+    TType.DOUBLE: compact.DOUBLE,
+    TType.I16: compact.I16,
+    TType.I32: compact.I32,
+    TType.I64: compact.I64,
+    TType.STRING: compact.BINARY,
+    TType.STRUCT: compact.STRUCT,
+    TType.MAP: compact.MAP,
+    TType.SET: compact.SET,
+    TType.LIST: compact.LIST,
+    TType.UUID: compact.UUID,
 }
-TO_BINARY: dict[int, int] = {theirs: ours for ours, theirs in TO_COMPACT.items()} | {compact.FALSE: T.BOOL}
+TO_BINARY: dict[int, int] = {theirs: ours for ours, theirs in TO_COMPACT.items()} | {compact.FALSE: TType.BOOL}
 # By type: how many bytes a number has, and how it is read; and fields of the most common types, header and value.
 NUMBERS: dict[int, tuple[int, Callable[[bytes, int], tuple[int]]]] = {
-    T.I16: (2, binary.I16.unpack_from),
-    T.I32: (4, binary.I32.unpack_from),
-    T.I64: (8, binary.I64.unpack_from),
+    TType.I16: (2, binary.I16.unpack_from),
+    TType.I32: (4, binary.I32.unpack_from),
+    TType.I64: (8, binary.I64.unpack_from),
 }
 I32_FIELD, I64_FIELD, STRING_FIELD = Struct(">Bhi"), Struct(">Bhq"), Struct(">BhI")
 PACKERS: dict[int, Callable[[int], bytes]] = {
@@ -44,7 +44,7 @@
 HEADS: dict[int, bytes] = {kind: bytes((kind,)) for kind in range(17)}
 
 
-def convert(message: bytes, header: Header, to: Encoding, seqid: int) -> bytes:
+def convert(message: bytes, header: MessageHeader, to: Encoding, seqid: int) -> bytes:
     """The whole message in the other encoding, or in its own, with this sequence id.
 
     Raises Malformed where it can't be walked, or has bytes behind its end, which have no place in the other encoding.
@@ -53,19 +53,19 @@
         return with_seqid(message, header, seqid)
     try:
         if to is Encoding.COMPACT:
-            out = bytearray(compact.write_header(header.kind, header.name, seqid))
+            out = bytearray(compact.write_header(header.message_type, header.name, seqid))
             end = _struct_to_compact(message, header.body_at, out, 1)
         else:
-            out = bytearray(binary.write_header(header.kind, header.name, seqid))
+            out = bytearray(binary.write_header(header.message_type, header.name, seqid))
             end = _struct_to_binary(message, header.body_at, out, 1)
     except (IndexError, struct_error) as error:  # read past the end; strings are held against it
-        raise Malformed("a value that ends past its frame") from error
+        raise MalformedMessage("a value that ends past its frame") from error
     if end != len(message):
-        raise Malformed("bytes behind the message's end")
+        raise MalformedMessage("bytes behind the message's end")
     return bytes(out)
 
 
-def with_seqid(message: bytes, header: Header, seqid: int) -> bytes:
+def with_seqid(message: bytes, header: MessageHeader, seqid: int) -> bytes:
     """The same message, byte for byte, but for its sequence id."""
     if seqid == header.seqid:
         return message
@@ -87,12 +87,12 @@
         if not kind:
             append(0)
             return at + 1
-        if kind == T.STRING:
+        if kind == TType.STRING:
             _, number, length = read_string(frame, at)
             at += 7
             end = at + length
             if end > size:
-                raise Malformed("a string that ends past its frame")
+                raise MalformedMessage("a string that ends past its frame")
             last = _header(number, last, compact.BINARY, out)
             if length < 0x80:
                 append(length)
@@ -101,14 +101,14 @@
             out += frame[at:end]
             at = end
             continue
-        if kind == T.I32 or kind == T.I64:
-            if kind == T.I32:
+        if kind == TType.I32 or kind == TType.I64:
+            if kind == TType.I32:
                 _, number, value = read_i32(frame, at)
                 at += 7
             else:
                 _, number, value = read_i64(frame, at)
                 at += 11
-            last = _header(number, last, compact.I32 if kind == T.I32 else compact.I64, out)
+            last = _header(number, last, compact.I32 if kind == TType.I32 else compact.I64, out)
             unsigned = value << 1 ^ value >> 63
             if unsigned < 0x80:
                 append(unsigned)
@@ -117,13 +117,13 @@
             continue
         (number,) = binary.I16.unpack_from(frame, at + 1)
         at += 3
-        if kind == T.BOOL:
+        if kind == TType.BOOL:
             last = _header(number, last, _flag(frame, at), out)
             at += 1
             continue
         theirs = TO_COMPACT.get(kind, 0)
         if not theirs:
-            raise Malformed(f"type {kind} is not known")
+            raise MalformedMessage(f"type {kind} is not known")
         last = _header(number, last, theirs, out)
         at = _to_compact(frame, at, kind, out, depth)
 
@@ -142,12 +142,12 @@
 def _flag(frame: bytes, at: int) -> int:
     """How a bool is told in compact, as a field's type and as an element alike."""
     if frame[at] > 1:
-        raise Malformed("a bool that is neither 0 nor 1")
+        raise MalformedMessage("a bool that is neither 0 nor 1")
     return compact.TRUE if frame[at] else compact.FALSE
 
 
 def _to_compact(frame: bytes, at: int, kind: int, out: bytearray, depth: int) -> int:
-    if kind == T.STRING:
+    if kind == TType.STRING:
         begin, end = binary.string_end(frame, at)
         out += compact.put_varint(end - begin)
         out += frame[begin:end]
@@ -156,7 +156,7 @@
     if number is not None:
         end = at + number[0]
         if end > len(frame):
-            raise Malformed("a value that ends past its frame")
+            raise MalformedMessage("a value that ends past its frame")
         value = number[1](frame, at)[0]
         unsigned = value << 1 if value >= 0 else (-value << 1) - 1
         if unsigned < 0x80:
@@ -164,25 +164,25 @@
         else:
             out += compact.put_varint(unsigned)
         return end
-    if kind == T.BOOL:
+    if kind == TType.BOOL:
         out.append(_flag(frame, at))
         return at + 1
     fixed = binary.FIXED.get(kind)
     if fixed is not None:
         end = at + fixed
         if end > len(frame):
-            raise Malformed("a value that ends past its frame")
-        out += frame[at:end][::-1] if kind == T.DOUBLE else frame[at:end]
+            raise MalformedMessage("a value that ends past its frame")
+        out += frame[at:end][::-1] if kind == TType.DOUBLE else frame[at:end]
         return end
     if depth >= MAX_DEPTH:
-        raise Malformed(f"more than {MAX_DEPTH} levels within each other")
-    if kind == T.STRUCT:
+        raise MalformedMessage(f"more than {MAX_DEPTH} levels within each other")
+    if kind == TType.STRUCT:
         return _struct_to_compact(frame, at, out, depth + 1)
-    if kind == T.MAP:
+    if kind == TType.MAP:
         return _map_to_compact(frame, at, out, depth + 1)
-    if kind in (T.LIST, T.SET):
+    if kind in (TType.LIST, TType.SET):
         return _list_to_compact(frame, at, out, depth + 1)
-    raise Malformed(f"type {kind} is not known")
+    raise MalformedMessage(f"type {kind} is not known")
 
 
 def _list_to_compact(frame: bytes, at: int, out: bytearray, depth: int) -> int:
@@ -193,7 +193,7 @@
     else:
         out.append(0xF0 | theirs)
         out += compact.put_varint(count)
-    if element == T.BYTE:
+    if element == TType.BYTE:
         out += frame[at : at + count]
         return at + count
     for _ in range(count):
@@ -227,7 +227,7 @@
             at += 1
             last += step
             if last > 0x7FFF:
-                raise Malformed("a field id of more than 16 bits")
+                raise MalformedMessage("a field id of more than 16 bits")
         else:
             kind, last, at = compact.field(frame, at, last)
         if kind == compact.BINARY:
@@ -238,8 +238,8 @@
                 length, at = compact.varint(frame, at, 32)
             end = at + length
             if end > size:
-                raise Malformed("a string that ends past its frame")
-            out += pack_string(T.STRING, last, length)
+                raise MalformedMessage("a string that ends past its frame")
+            out += pack_string(TType.STRING, last, length)
             out += frame[at:end]
             at = end
         elif kind == compact.I32:
@@ -248,14 +248,14 @@
                 at += 1
             else:
                 unsigned, at = compact.varint(frame, at, 32)
-            out += pack_i32(T.I32, last, unsigned >> 1 ^ -(unsigned & 1))
+            out += pack_i32(TType.I32, last, unsigned >> 1 ^ -(unsigned & 1))
         elif not kind:
             append(0)
             return at
         else:
             ours = TO_BINARY.get(kind)
             if ours is None:
-                raise Malformed(f"type {kind} is not known")
+                raise MalformedMessage(f"type {kind} is not known")
             append(ours)
             out += binary.I16.pack(last)
             if kind <= compact.FALSE:
@@ -277,27 +277,27 @@
         return at
     if kind <= compact.FALSE:
         if at >= len(frame):
-            raise Malformed("a value that ends past its frame")
+            raise MalformedMessage("a value that ends past its frame")
         if frame[at] > 2:
-            raise Malformed("a bool that is neither true nor false")
+            raise MalformedMessage("a bool that is neither true nor false")
         out.append(frame[at] == compact.TRUE)
         return at + 1
     fixed = compact.FIXED.get(kind)
     if fixed is not None:
         end = at + fixed
         if end > len(frame):
-            raise Malformed("a value that ends past its frame")
+            raise MalformedMessage("a value that ends past its frame")
         out += frame[at:end][::-1] if kind == compact.DOUBLE else frame[at:end]
         return end
     if depth >= MAX_DEPTH:
-        raise Malformed(f"more than {MAX_DEPTH} levels within each other")
+        raise MalformedMessage(f"more than {MAX_DEPTH} levels within each other")
     if kind == compact.STRUCT:
         return _struct_to_binary(frame, at, out, depth + 1)
     if kind == compact.MAP:
         return _map_to_binary(frame, at, out, depth + 1)
     if kind in (compact.LIST, compact.SET):
         return _list_to_binary(frame, at, out, depth + 1)
-    raise Malformed(f"type {kind} is not known")
+    raise MalformedMessage(f"type {kind} is not known")
 
 
 def _list_to_binary(frame: bytes, at: int, out: bytearray, depth: int) -> int:
--- a/eiderhub/protocols/thrift/wire.py
+++ b/eiderhub/protocols/thrift/definitions.py
@@ -18,7 +18,7 @@
     COMPACT = 1
 
 
-class Kind(IntEnum):
+class MessageType(IntEnum):
     """The type of a message."""
 
     CALL = 1
@@ -27,7 +27,7 @@
     ONEWAY = 4
 
 
-class T:
+class TType:
     """Types as the binary encoding numbers them. Plain numbers, for they are read off the wire by the dozen."""
 
     STOP: Final = 0
@@ -45,15 +45,15 @@
     UUID: Final = 16
 
 
-class Malformed(ValueError):
+class MalformedMessage(ValueError):
     """Bytes that are no Thrift, or more than the bounds allow; the text says what was wrong."""
 
 
-class Header(NamedTuple):
+class MessageHeader(NamedTuple):
     """A message's header: what is called, and where its struct begins."""
 
     encoding: Encoding
-    kind: Kind
+    message_type: MessageType
     name: bytes  # as sent: `method`, or `Service:method` where services share a connection
     seqid: int  # signed, 32 bits
     seqid_at: int  # where its bytes begin
@@ -61,7 +61,7 @@
     body_at: int  # where the struct of arguments, or of the result, begins
 
 
-class Failure(IntEnum):
+class ExceptionType(IntEnum):
     """The types of TApplicationException, as the Apache libraries number them."""
 
     UNKNOWN = 0
--- a/eiderhub/protocols/thrift/paths.py
+++ b/eiderhub/protocols/thrift/field_paths.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from eiderhub.protocols.thrift import binary, compact
-from eiderhub.protocols.thrift.wire import Encoding, Header, Malformed, T
+from eiderhub.protocols.thrift.definitions import Encoding, MalformedMessage, MessageHeader, TType
 
 MAX_PATH = 8  # fields on the way of one path
 Value = int | float | bool | bytes
@@ -54,7 +54,7 @@
     return root
 
 
-def read(message: bytes, header: Header, wanted: Tree) -> dict[str, Value]:
+def read(message: bytes, header: MessageHeader, wanted: Tree) -> dict[str, Value]:
     """The values at the wanted paths, by name; those that are absent are left out.
 
     One port serves methods whose arguments differ: a path that leads through what is no struct in this one, or ends at
@@ -80,7 +80,7 @@
             value, at = _binary_value(message, at, kind)
             if value is not None:
                 found[name] = value
-        elif number in wanted.below and kind == T.STRUCT:
+        elif number in wanted.below and kind == TType.STRUCT:
             _once(number, seen)
             at = _walk_binary(message, at, wanted.below[number], found)
         else:
@@ -109,30 +109,30 @@
 
 def _once(number: int, seen: set[int]) -> None:
     if number in seen:
-        raise Malformed(f"field {number} stands twice in one struct")
+        raise MalformedMessage(f"field {number} stands twice in one struct")
     seen.add(number)
 
 
 INTEGERS: dict[int, Callable[[bytes, int], tuple[int]]] = {
-    T.I16: binary.I16.unpack_from,
-    T.I32: binary.I32.unpack_from,
-    T.I64: binary.I64.unpack_from,
+    TType.I16: binary.I16.unpack_from,
+    TType.I32: binary.I32.unpack_from,
+    TType.I64: binary.I64.unpack_from,
 }
 
 
 def _binary_value(message: bytes, at: int, kind: int) -> tuple[Value | None, int]:
     """The value and where it ends; None where it is no single one."""
     end = binary.skip(message, at, kind, 1)
-    if kind == T.STRING:
+    if kind == TType.STRING:
         begin, end = binary.string_end(message, at)
         return message[begin:end], end
     if kind in INTEGERS:
         return INTEGERS[kind](message, at)[0], end
-    if kind == T.BOOL:
+    if kind == TType.BOOL:
         return message[at] != 0, end
-    if kind == T.BYTE:
+    if kind == TType.BYTE:
         return message[at] - 256 if message[at] > 127 else message[at], end
-    if kind == T.DOUBLE:
+    if kind == TType.DOUBLE:
         return float(binary.DOUBLE.unpack_from(message, at)[0]), end
     return None, end
 
--- a/eiderhub/protocols/thrift/frames.py
+++ b/eiderhub/protocols/thrift/framing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from eiderhub.protocols.thrift.wire import MAX_FRAME, Malformed
+from eiderhub.protocols.thrift.definitions import MAX_FRAME, MalformedMessage
 
 HTTP_WORDS = (b"GET ", b"POST", b"PUT ", b"HEAD", b"OPTI", b"DELE", b"PATC", b"CONN", b"TRAC", b"PRI ", b"HTTP")
 
@@ -65,7 +65,7 @@
     def _check(self, length: int, head: bytes) -> None:
         if 0 < length <= self._most:
             return
-        raise Malformed(self._told(length, head))
+        raise MalformedMessage(self._told(length, head))
 
     def _told(self, length: int, head: bytes) -> str:
         if head in HTTP_WORDS:
--- a/eiderhub/protocols/thrift/options.py
+++ b/eiderhub/protocols/thrift/options.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from eiderhub.interface import Effect
-from eiderhub.protocols.thrift import paths
-from eiderhub.protocols.thrift.plan import COST, DEADLINE, KEY, REQUEST_ID, TENANT, Options
-from eiderhub.protocols.thrift.wire import MAX_FRAME, MAX_NAME, Encoding
+from eiderhub.protocols.thrift import field_paths
+from eiderhub.protocols.thrift.admission import COST, DEADLINE, KEY, REQUEST_ID, TENANT, ListenerOptions
+from eiderhub.protocols.thrift.definitions import MAX_FRAME, MAX_NAME, Encoding
 from eiderhub.routing.options import EFFECTS, WORDS, route_of
 from eiderhub.routing.plan import FIRST_PART
 from eiderhub.routing.table import Table as Compiled
@@ -49,7 +49,7 @@
         if not isinstance(value, str):
             return wrong(spot, value, self.words)
         try:
-            return paths.parse(value)
+            return field_paths.parse(value)
         except ValueError as error:
             spot.error("field-path", str(error), "No call could have it", f"Write {self.words}")
             return BAD
@@ -77,14 +77,14 @@
 }  # fmt: skip
 
 
-def listener(tables: dict[str, Any]) -> Options | None:
+def listener(tables: dict[str, Any]) -> ListenerOptions | None:
     """The port that a checked operator's file asks for."""
     row = tables.get("thrift")
     if row is None:
         return None
     encodings = {"binary": Encoding.BINARY, "compact": Encoding.COMPACT}
     host, port = row["listen"]
-    return Options(
+    return ListenerOptions(
         host,
         port,
         encodings.get(row["endpoints"]),
@@ -109,7 +109,7 @@
         return
     spot = pair.operator / "thrift"
     try:
-        paths.tree(row["fields"].items())
+        field_paths.tree(row["fields"].items())
     except ValueError as error:
         (spot / "fields").error("field-path", str(error), "No sidecar starts from it", "Give each its own field")
     if not pair.document:
--- a/eiderhub/protocols/thrift/answers.py
+++ b/eiderhub/protocols/thrift/replies.py
@@ -16,7 +16,7 @@
 
 from eiderhub.interface import Outcome
 from eiderhub.protocols.thrift import messages
-from eiderhub.protocols.thrift.wire import Failure, Header, Kind, Malformed
+from eiderhub.protocols.thrift.definitions import ExceptionType, MalformedMessage, MessageHeader, MessageType
 
 NO_SHEDDING: Final[frozenset[int]] = frozenset()
 
@@ -27,29 +27,33 @@
     return (service, method) if between else (b"", name)
 
 
-def answers(asked: Header, seqid: int, header: Header) -> bool:
+def answers(asked: MessageHeader, seqid: int, header: MessageHeader) -> bool:
     """Whether a message answers this call. A service's prefix may be left out: some multiplexed servers do so.
 
     An exception may bear no name, or another: a server that could not read the call does not know it.
     """
-    if asked.kind is Kind.ONEWAY or header.seqid != seqid or header.kind not in (Kind.REPLY, Kind.EXCEPTION):
+    if (
+        asked.message_type is MessageType.ONEWAY
+        or header.seqid != seqid
+        or header.message_type not in (MessageType.REPLY, MessageType.EXCEPTION)
+    ):
         return False
-    if header.kind is Kind.EXCEPTION:
+    if header.message_type is MessageType.EXCEPTION:
         return True
     return header.name == asked.name or header.name == strip_service(asked.name)[1]
 
 
-def judge(message: bytes, header: Header, shedding: frozenset[int] = NO_SHEDDING) -> Outcome:
+def judge(message: bytes, header: MessageHeader, shedding: frozenset[int] = NO_SHEDDING) -> Outcome:
     """The outcome of a message that answers the call. An exception that can't be read is an error like another."""
-    if header.kind is Kind.REPLY:
+    if header.message_type is MessageType.REPLY:
         return Outcome.OK
     try:
         kind, _ = messages.read_exception(message, header)
-    except Malformed:
+    except MalformedMessage:
         return Outcome.ERROR
     if kind in shedding:
         return Outcome.REJECTED
-    return Outcome.NOT_EXECUTED if kind == Failure.UNKNOWN_METHOD else Outcome.ERROR
+    return Outcome.NOT_EXECUTED if kind == ExceptionType.UNKNOWN_METHOD else Outcome.ERROR
 
 
 # --- how our own answers are worded ---
@@ -69,7 +73,7 @@
 def failed(in_time: bool, broken: bool) -> tuple[int, str]:
     """Type and text: the call may have run."""
     if broken:
-        return Failure.INTERNAL_ERROR, "failed: the sidecar could not carry on; the call may have run"
+        return ExceptionType.INTERNAL_ERROR, "failed: the sidecar could not carry on; the call may have run"
     if not in_time:
         return TIMED_OUT, "failed: out of time; the call may have run"
-    return Failure.INTERNAL_ERROR, "failed: no endpoint gave an answer; the call may have run"
+    return ExceptionType.INTERNAL_ERROR, "failed: no endpoint gave an answer; the call may have run"
--- a/eiderhub/protocols/thrift/server.py
+++ b/eiderhub/protocols/thrift/server.py
@@ -6,18 +6,18 @@
 import logging
 from collections import deque
 
-from eiderhub.protocols.thrift import answers, messages
+from eiderhub.protocols.thrift import messages, replies
+from eiderhub.protocols.thrift.admission import Admitted, ListenerOptions, NotTaken, Reader
 from eiderhub.protocols.thrift.client import Call, Reply, wires
 from eiderhub.protocols.thrift.convert import convert
-from eiderhub.protocols.thrift.frames import FrameReader, framed
-from eiderhub.protocols.thrift.plan import Admitted, NotTaken, Options, Reader
-from eiderhub.protocols.thrift.wire import Encoding, Failure, Header, Kind, Malformed
+from eiderhub.protocols.thrift.definitions import Encoding, ExceptionType, MalformedMessage, MessageHeader, MessageType
+from eiderhub.protocols.thrift.framing import FrameReader, framed
 from eiderhub.sidecar import protocol_interface
 from eiderhub.sidecar.callers import BaseCallerConnection, Callers
 from eiderhub.sidecar.clock import now_us
 from eiderhub.sidecar.host import Host, Request
 
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024
 LENGTH = 4  # bytes before each frame
 log = logging.getLogger(__name__)
 
@@ -27,7 +27,7 @@
 
     __slots__ = ("answer", "connection", "header", "payload", "request", "request_id", "size")
 
-    def __init__(self, connection: CallerConnection, header: Header, size: int) -> None:
+    def __init__(self, connection: CallerConnection, header: MessageHeader, size: int) -> None:
         self.size = size  # bytes that are given back when it ends
         self.connection: CallerConnection | None = connection
         self.header = header
@@ -42,25 +42,27 @@
             return
         try:
             told = convert(reply.message, reply.header, self.header.encoding, self.header.seqid)
-        except Malformed as error:
+        except MalformedMessage as error:
             log.error("an answer can't be converted: %s", error)
-            self._exception(*answers.failed(in_time=True, broken=False))
+            self._exception(*replies.failed(in_time=True, broken=False))
             return
         self._end(told)
 
     def send_refusal(self, wait_us: int) -> None:
         if self.payload is not None and self.payload.unknown:
             # Danger: a refusal asks to come back, and a method that no endpoint has would be asked for without end.
-            self._exception(Failure.UNKNOWN_METHOD, "failed: no endpoint that was asked has this method")
+            self._exception(ExceptionType.UNKNOWN_METHOD, "failed: no endpoint that was asked has this method")
             return
         if self.payload is not None and self.payload.unsayable:
-            self._exception(Failure.PROTOCOL_ERROR, "failed: the call can't be read, or not said to its endpoints")
+            self._exception(
+                ExceptionType.PROTOCOL_ERROR, "failed: the call can't be read, or not said to its endpoints"
+            )
             return
-        self._exception(*answers.refusal(wait_us))
+        self._exception(*replies.refusal(wait_us))
 
     def send_failure(self, why: protocol_interface.FailureReason) -> None:
         self._exception(
-            *answers.failed(
+            *replies.failed(
                 why is not protocol_interface.FailureReason.TIMED_OUT,
                 why is protocol_interface.FailureReason.INTERNAL_ERROR,
             )
@@ -71,7 +73,7 @@
 
     def exception(self, failure: int, text: str) -> bytes:
         """What the caller's library raises; nothing where the call wants no answer."""
-        if self.header.kind is Kind.ONEWAY:
+        if self.header.message_type is MessageType.ONEWAY:
             return b""
         return messages.exception(self.header.encoding, self.header.name, self.header.seqid, failure, text)
 
@@ -91,7 +93,7 @@
         self.encoding: Encoding | None = None  # told by the first frame, and kept to
         self.out: deque[Out] = deque()  # in the order in which they came
         self.waiting: deque[bytes] = deque()  # whole frames that wait for a place among those
-        self._frames = FrameReader(server.options.most)
+        self._frames = FrameReader(server.options.max_frame_bytes)
 
     # --- the socket ---
 
@@ -101,7 +103,7 @@
         was_partial = self._frames.partial
         try:
             frames = self._frames.feed(data)
-        except Malformed as error:
+        except MalformedMessage as error:
             self.stop(str(error))
             return
         self.receiving = self._frames.partial
@@ -116,7 +118,7 @@
 
     @property
     def idle_s(self) -> float:
-        return self.server.options.idle_us / 1e6
+        return self.server.options.idle_timeout_us / 1e6
 
     @property
     def answering(self) -> bool:
@@ -149,12 +151,12 @@
             self.waiting
             and not self.write_blocked
             and not self.input_closed
-            and len(self.out) < self.server.options.calls
+            and len(self.out) < self.server.options.max_pending_calls
         ):
             message = self.waiting.popleft()
             try:
                 self._take(message)
-            except Malformed as error:
+            except MalformedMessage as error:
                 self.stop(str(error))
         if self.input_closed:
             return
@@ -167,10 +169,10 @@
     def _take(self, message: bytes) -> None:
         """One call. Raises Malformed where its bytes, or its sequence id, leave the connection in doubt."""
         if self.encoding is None:
-            self.encoding = messages.encoding_of(message)
+            self.encoding = messages.detect_encoding(message)
         header = messages.read_header(message, self.encoding)
         if not self.server.options.in_order and any(header.seqid == o.header.seqid for o in self.out):
-            raise Malformed("a sequence id that is out already: two answers could not be told apart")
+            raise MalformedMessage("a sequence id that is out already: two answers could not be told apart")
         call = Out(self, header, len(message) + LENGTH)
         self.out.append(call)
         try:
@@ -189,7 +191,7 @@
         open_ids = self.callers.open_request_ids
         if admitted.request_id:
             if admitted.request_id in open_ids:
-                raise NotTaken(Failure.PROTOCOL_ERROR, "request_id: this request is open")
+                raise NotTaken(ExceptionType.PROTOCOL_ERROR, "request_id: this request is open")
             open_ids.add(admitted.request_id)
             call.request_id = admitted.request_id
 
@@ -236,7 +238,7 @@
             request, call.request = call.request, None
             if call.answer is None:
                 call.connection = None
-                call.answer = call.exception(Failure.PROTOCOL_ERROR, f"failed: {reason}; the call may have run")
+                call.answer = call.exception(ExceptionType.PROTOCOL_ERROR, f"failed: {reason}; the call may have run")
                 self._forget(call)
             if request is not None:
                 self.server.host.cancel_request(request)
@@ -251,13 +253,13 @@
         """Why the connection ends, for a caller with no call out: as an exception where it speaks Thrift at all."""
         if self.encoding is None:
             return b""
-        return messages.exception(self.encoding, b"", 0, Failure.PROTOCOL_ERROR, reason)
+        return messages.exception(self.encoding, b"", 0, ExceptionType.PROTOCOL_ERROR, reason)
 
 
 class Server:
     """The Thrift port of a sidecar."""
 
-    def __init__(self, host: Host, callers: Callers, options: Options) -> None:
+    def __init__(self, host: Host, callers: Callers, options: ListenerOptions) -> None:
         self.host = host
         self.callers = callers
         self.options = options
@@ -272,6 +274,6 @@
             lambda: CallerConnection(self),
             self.options.host,
             self.options.port,
-            backlog=BACKLOG,
+            backlog=LISTEN_BACKLOG,
             start_serving=False,
         )
--- a/eiderhub/sidecar/__main__.py
+++ b/eiderhub/sidecar/__main__.py
@@ -13,7 +13,7 @@
 
 import uvloop
 
-from eiderhub.protocols.http1.server import BACKLOG, Server
+from eiderhub.protocols.http1.server import LISTEN_BACKLOG, Server
 from eiderhub.sidecar.callers import Callers
 from eiderhub.sidecar.clock import now_us
 from eiderhub.sidecar.config import Config, ConfigError, load, needs_restart
@@ -95,7 +95,7 @@
     """
     poll = select.poll()
     poll.register(listener.sockets[0].fileno(), select.POLLIN)
-    for _ in range(BACKLOG):  # the loop takes one in each turn; a flood that never ends is left to its reset
+    for _ in range(LISTEN_BACKLOG):  # the loop takes one in each turn; a flood that never ends is left to its reset
         if not poll.poll(0):
             break
         await asyncio.sleep(0)
--- a/tests/conformance/worlds.py
+++ b/tests/conformance/worlds.py
@@ -11,9 +11,9 @@
 
 from eiderhub.interface import ListForm
 from eiderhub.membership.endpoint_list import read_endpoint_list
-from eiderhub.protocols.thrift.answers import LOAD_SHEDDING
-from eiderhub.protocols.thrift.plan import Options
-from eiderhub.protocols.thrift.wire import Encoding
+from eiderhub.protocols.thrift.admission import ListenerOptions
+from eiderhub.protocols.thrift.definitions import Encoding
+from eiderhub.protocols.thrift.replies import LOAD_SHEDDING
 from standins.consul import instance
 from tests.sidecar_support import Client, FakeServer, ReceivedRequest, Sidecar, row
 from tests.thrift.peers import SHED, AskedThrift, ThriftClient, ThriftFake
@@ -151,7 +151,14 @@
     @asynccontextmanager
     async def world(endpoints: int, **settings: Any) -> AsyncIterator[World]:
         fields = {"key": (1,), "deadline_ms": (2,)}
-        options = Options("127.0.0.1", 0, encoding=inner, tenant="acme", fields=fields, shedding=frozenset((SHED,)))
+        options = ListenerOptions(
+            "127.0.0.1",
+            0,
+            endpoint_encoding=inner,
+            default_tenant="acme",
+            field_paths=fields,
+            shed_exception_types=frozenset((SHED,)),
+        )
         async with Sidecar(endpoints, thrift=options, fake=ThriftFake, **settings) as sidecar:
 
             async def connect() -> Caller:
--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -20,7 +20,7 @@
 from eiderhub.membership.source_aggregator import add_consul_source
 from eiderhub.protocols.http1.server import Server
 from eiderhub.protocols.thrift import server as thrift_server
-from eiderhub.protocols.thrift.plan import Options
+from eiderhub.protocols.thrift.admission import ListenerOptions
 from eiderhub.routing.plan import Plan
 from eiderhub.settings import parse_settings
 from eiderhub.sidecar.callers import Callers
@@ -181,7 +181,7 @@
         upstream: int = 400,
         held: int = 1 << 24,
         plan: Plan | None = None,
-        thrift: Options | None = None,
+        thrift: ListenerOptions | None = None,
         fake: Callable[[], FakeServer] | None = None,
         consul: bool = False,
         **settings: Any,
--- a/tests/test_caller_disconnects.py
+++ b/tests/test_caller_disconnects.py
@@ -8,7 +8,7 @@
 import pytest
 
 from eiderhub.interface import Outcome
-from eiderhub.protocols.http1.server import MAX_BEHIND
+from eiderhub.protocols.http1.server import MAX_UNPARSED_BYTES
 from eiderhub.sidecar.callers import CHECK_INTERVAL_S
 from tests.sidecar_support import SETUP, Client, FakeServer, Sidecar, leave, next_request, run
 from tests.test_sidecar import RecordingCaller, direct_request
@@ -25,7 +25,7 @@
     assert 2 * CHECK_INTERVAL_S < LIMIT_S
 
 
-@pytest.mark.parametrize("behind", [1, MAX_BEHIND], ids=["one behind it", "more behind it than is read"])
+@pytest.mark.parametrize("behind", [1, MAX_UNPARSED_BYTES], ids=["one behind it", "more behind it than is read"])
 @pytest.mark.parametrize("how", ["close", "half close", "reset"])
 def test_requests_behind_another_are_not_sent_on_for_a_caller_that_has_left(how: str, behind: int) -> None:
     """Seen: with requests in waiting nothing was read, so the end was not heard before all of them had been served."""
@@ -40,7 +40,7 @@
             await client.writer.drain()
             for _ in range(3 if behind > 1 else 0):  # the last of them fill what is read ahead
                 await asyncio.sleep(0)
-                client.send(body=b"x" * (MAX_BEHIND // 2))
+                client.send(body=b"x" * (MAX_UNPARSED_BYTES // 2))
                 await client.writer.drain()
             leave(client.writer, how)
             await called_off(sidecar.endpoints[0])
--- a/tests/test_connection_races.py
+++ b/tests/test_connection_races.py
@@ -12,7 +12,7 @@
 
 from eiderhub.interface import ListForm, Outcome
 from eiderhub.membership.endpoint_list import read_endpoint_list
-from eiderhub.protocols.http1.client import HTTP1, SETTLE_US, Connection
+from eiderhub.protocols.http1.client import HTTP1, REUSE_DELAY_US, Connection
 from eiderhub.sidecar.resource_limits import ByteBudget
 from eiderhub.sidecar.upstream import Attempt, Upstream
 from standins.http import answer
@@ -146,7 +146,7 @@
 
 
 def test_a_connection_is_used_again_once_it_has_rested(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Connection, "reuse_delay_us", SETTLE_US)
+    monkeypatch.setattr(Connection, "reuse_delay_us", REUSE_DELAY_US)
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -156,7 +156,7 @@
                 (await sidecar.endpoints[0].next()).reply()
                 await client.answer()
                 (link,) = sidecar.host.upstream.pools["s-0"].idle
-                link.last_reply_us -= SETTLE_US
+                link.last_reply_us -= REUSE_DELAY_US
             assert sidecar.endpoints[0].connections == 1
 
     run(test())
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -149,10 +149,10 @@
             await sidecar.endpoints[0].next()
             client.send(body=b"1")
             (caller,) = sidecar.callers.connections
-            while not caller.waiting:  # type: ignore[attr-defined]
+            while not caller.queued_requests:  # type: ignore[attr-defined]
                 await asyncio.sleep(0)
             client.send(body=b"2")
-            while not caller._behind:  # type: ignore[attr-defined]
+            while not caller._unparsed:  # type: ignore[attr-defined]
                 await asyncio.sleep(0)
             sidecar.callers.closing = True
             sidecar.host.close()
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -15,8 +15,8 @@
 
 from eiderhub.interface import ListForm, Readiness
 from eiderhub.membership.endpoint_list import read_endpoint_list
-from eiderhub.protocols.http1.client import Exchange, Response
-from eiderhub.protocols.http1.server import FAILURES
+from eiderhub.protocols.http1.client import RequestPayload, Response
+from eiderhub.protocols.http1.server import STATUS_BY_FAILURE
 from eiderhub.sidecar import __main__ as entry
 from eiderhub.sidecar import host as hosting
 from eiderhub.sidecar.clock import Timer, now_us
@@ -48,13 +48,13 @@
         self.all.put_nowait(503)
 
     def send_failure(self, why: FailureReason) -> None:
-        self.all.put_nowait(FAILURES[why])
+        self.all.put_nowait(STATUS_BY_FAILURE[why])
 
 
 def direct_request(caller: RecordingCaller, grade: str = "pay") -> Request:
     """A request as the server hands it over; its head only has to end where the deadline's value follows."""
     head = b"POST /pay HTTP/1.1\r\nHost: e\r\nReq-Id: d1\r\nContent-Length: 0\r\n"
-    return Request(caller, grade, "acme", None, now_us() + 2_000_000, Exchange(head, b""))
+    return Request(caller, grade, "acme", None, now_us() + 2_000_000, RequestPayload(head, b""))
 
 
 # --- what passes through ---
--- a/tests/thrift/peers.py
+++ b/tests/thrift/peers.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from eiderhub.protocols.thrift import messages
-from eiderhub.protocols.thrift.frames import framed
-from eiderhub.protocols.thrift.wire import Encoding, Header, T
+from eiderhub.protocols.thrift.definitions import Encoding, MessageHeader, TType
+from eiderhub.protocols.thrift.framing import framed
 from tests.sidecar_support import FakeServer, ReceivedRequest
 from tests.thrift.values import Value, apache
 
@@ -20,7 +20,7 @@
 
 def told(value: bytes) -> Value:
     """A struct with one text, as field 1."""
-    return T.STRUCT, [(1, (T.STRING, value))]
+    return TType.STRUCT, [(1, (TType.STRING, value))]
 
 
 class AskedThrift(ReceivedRequest):
@@ -30,14 +30,14 @@
         self.frame = frame
         self.writer = writer
         self.connection = connection
-        self.header: Header = messages.read_header(frame, messages.encoding_of(frame))
+        self.header: MessageHeader = messages.read_header(frame, messages.detect_encoding(frame))
 
     def send(self, message: bytes) -> None:
         self.writer.write(framed(message))
 
     def reply(self, status: int = 200, body: bytes = b"done", *headers: str) -> None:
         """A result whose field 0 is this text."""
-        result = T.STRUCT, [(0, (T.STRING, body))]
+        result = TType.STRUCT, [(0, (TType.STRING, body))]
         name = self.header.name.decode()
         self.send(apache(self.header.encoding, result, name, self.header.seqid, kind=2))
 
@@ -66,9 +66,9 @@
 
     def __init__(self, frame: bytes) -> None:
         self.frame = frame
-        self.header = messages.read_header(frame, messages.encoding_of(frame))
+        self.header = messages.read_header(frame, messages.detect_encoding(frame))
         self.kind = self.text = None
-        if self.header.kind == 3:
+        if self.header.message_type == 3:
             self.kind, self.text = messages.read_exception(frame, self.header)
 
 
@@ -90,7 +90,7 @@
     ) -> int:
         self.seqid += 1
         number = self.seqid if seqid is None else seqid
-        call = T.STRUCT, [(1, (T.STRING, key)), (2, (T.I32, deadline_ms)), (3, (T.BOOL, True))]
+        call = TType.STRUCT, [(1, (TType.STRING, key)), (2, (TType.I32, deadline_ms)), (3, (TType.BOOL, True))]
         self.writer.write(framed(apache(self.encoding, call, name, number, kind)))
         return number
 
--- a/tests/thrift/test_codec.py
+++ b/tests/thrift/test_codec.py
@@ -6,29 +6,36 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from eiderhub.protocols.thrift import binary, compact, messages, paths
+from eiderhub.protocols.thrift import binary, compact, field_paths, messages
 from eiderhub.protocols.thrift.convert import convert, with_seqid
-from eiderhub.protocols.thrift.frames import FrameReader, framed
-from eiderhub.protocols.thrift.wire import MAX_DEPTH, Encoding, Header, Kind, Malformed, T
+from eiderhub.protocols.thrift.definitions import (
+    MAX_DEPTH,
+    Encoding,
+    MalformedMessage,
+    MessageHeader,
+    MessageType,
+    TType,
+)
+from eiderhub.protocols.thrift.framing import FrameReader, framed
 from tests.thrift.values import Value, apache, integers, structs, without_types_of_empty_maps
 
 BOTH = (Encoding.BINARY, Encoding.COMPACT)
 SKIPS = {Encoding.BINARY: binary.skip_struct, Encoding.COMPACT: compact.skip_struct}
 
 
-def header(message: bytes, encoding: Encoding) -> Header:
-    assert messages.encoding_of(message) is encoding
+def header(message: bytes, encoding: Encoding) -> MessageHeader:
+    assert messages.detect_encoding(message) is encoding
     return messages.read_header(message, encoding)
 
 
-@given(structs, st.text("abcdefgh:", min_size=1, max_size=30), integers(32), st.sampled_from(list(Kind)))
-def test_conversion_makes_what_apache_writes(struct: Value, name: str, seqid: int, kind: Kind) -> None:
-    plain = (T.STRUCT, without_types_of_empty_maps(*struct))
-    told = apache(Encoding.BINARY, struct, name, seqid, kind)
-    short = apache(Encoding.COMPACT, struct, name, seqid, kind)
+@given(structs, st.text("abcdefgh:", min_size=1, max_size=30), integers(32), st.sampled_from(list(MessageType)))
+def test_conversion_makes_what_apache_writes(struct: Value, name: str, seqid: int, message_type: MessageType) -> None:
+    plain = (TType.STRUCT, without_types_of_empty_maps(*struct))
+    told = apache(Encoding.BINARY, struct, name, seqid, message_type)
+    short = apache(Encoding.COMPACT, struct, name, seqid, message_type)
     assert convert(told, header(told, Encoding.BINARY), Encoding.COMPACT, seqid) == short
     assert convert(short, header(short, Encoding.COMPACT), Encoding.BINARY, seqid) == apache(
-        Encoding.BINARY, plain, name, seqid, kind
+        Encoding.BINARY, plain, name, seqid, message_type
     )
 
 
@@ -38,7 +45,7 @@
 ) -> None:
     message = apache(encoding, struct, "Service:ask", seqid)
     found = header(message, encoding)
-    assert (found.kind, found.name, found.seqid) == (Kind.CALL, b"Service:ask", seqid)
+    assert (found.message_type, found.name, found.seqid) == (MessageType.CALL, b"Service:ask", seqid)
     assert SKIPS[encoding](message, found.body_at) == len(message)
     assert with_seqid(message, found, other) == apache(encoding, struct, "Service:ask", other)
 
@@ -47,11 +54,15 @@
 def test_a_path_reads_what_was_written(struct: Value, encoding: Encoding, data: st.DataObject) -> None:
     field, key = data.draw(integers(64)), data.draw(st.binary(max_size=20))
     call: Value = (
-        T.STRUCT, [(1, (T.STRUCT, [(3, (T.I64, field)), (300, (T.STRING, key)), (7, (T.BOOL, True))])), (2, struct)]
-    )  # fmt: skip
+        TType.STRUCT,
+        [
+            (1, (TType.STRUCT, [(3, (TType.I64, field)), (300, (TType.STRING, key)), (7, (TType.BOOL, True))])),
+            (2, struct),
+        ],
+    )
     message = apache(encoding, call)
-    wanted = paths.tree([(p, paths.parse(p)) for p in ("1.3", "1.300", "1.7", "1.8", "9.1")])
-    found = paths.read(message, header(message, encoding), wanted)
+    wanted = field_paths.tree([(p, field_paths.parse(p)) for p in ("1.3", "1.300", "1.7", "1.8", "9.1")])
+    found = field_paths.read(message, header(message, encoding), wanted)
     assert found == {"1.3": field, "1.300": key, "1.7": True}
 
 
@@ -59,49 +70,51 @@
 @pytest.mark.parametrize(
     ("fields", "why"),
     [
-        ([(1, (T.STRUCT, [(3, (T.I32, 1)), (3, (T.I32, 2))]))], "field 3 stands twice"),
-        ([(1, (T.STRUCT, [])), (1, (T.STRUCT, [(3, (T.I32, 2))]))], "field 1 stands twice"),
+        ([(1, (TType.STRUCT, [(3, (TType.I32, 1)), (3, (TType.I32, 2))]))], "field 3 stands twice"),
+        ([(1, (TType.STRUCT, [])), (1, (TType.STRUCT, [(3, (TType.I32, 2))]))], "field 1 stands twice"),
     ],
 )
 def test_a_path_with_two_readings_refuses_the_message(
     encoding: Encoding, fields: list[tuple[int, Value]], why: str
 ) -> None:
-    message = apache(encoding, (T.STRUCT, fields))
-    with pytest.raises(Malformed, match=why):
-        paths.read(message, header(message, encoding), paths.tree([("key", (1, 3))]))
+    message = apache(encoding, (TType.STRUCT, fields))
+    with pytest.raises(MalformedMessage, match=why):
+        field_paths.read(message, header(message, encoding), field_paths.tree([("key", (1, 3))]))
 
 
 @pytest.mark.parametrize("encoding", BOTH)
-@pytest.mark.parametrize("field", [(T.I32, 5), (T.STRUCT, [(3, (T.LIST, (T.I32, [1])))]), (T.STRUCT, [])])
+@pytest.mark.parametrize(
+    "field", [(TType.I32, 5), (TType.STRUCT, [(3, (TType.LIST, (TType.I32, [1])))]), (TType.STRUCT, [])]
+)
 def test_a_path_is_absent_from_arguments_of_another_shape(encoding: Encoding, field: Value) -> None:
-    message = apache(encoding, (T.STRUCT, [(1, field)]))
-    assert paths.read(message, header(message, encoding), paths.tree([("key", (1, 3))])) == {}
+    message = apache(encoding, (TType.STRUCT, [(1, field)]))
+    assert field_paths.read(message, header(message, encoding), field_paths.tree([("key", (1, 3))])) == {}
 
 
 @pytest.mark.parametrize("text", ["", "1.", "a", "1.x", "40000", "1.2.3.4.5.6.7.8.9", "²"])
 def test_what_is_no_path_is_refused_with_its_text(text: str) -> None:
     with pytest.raises(ValueError, match=r"path|deep"):
-        paths.parse(text)
+        field_paths.parse(text)
 
 
 def test_paths_that_cross_are_refused() -> None:
     for rows in ([("a", (1,)), ("b", (1, 2))], [("a", (1, 2)), ("b", (1,))], [("a", (1,)), ("b", (1,))]):
         with pytest.raises(ValueError, match="field"):
-            paths.tree(rows)
+            field_paths.tree(rows)
 
 
 @given(st.binary(max_size=300), st.sampled_from(BOTH), st.booleans())
 def test_no_bytes_of_a_peer_raise_anything_but_malformed(noise: bytes, encoding: Encoding, headed: bool) -> None:
-    start = apache(encoding, (T.STRUCT, []))[:-1] if headed else b""
+    start = apache(encoding, (TType.STRUCT, []))[:-1] if headed else b""
     message = start + noise
     try:
         found = messages.read_header(message, encoding)
         assert found.body_at <= len(message)
         SKIPS[encoding](message, found.body_at)
         convert(message, found, Encoding(1 - encoding), 1)
-        paths.read(message, found, paths.tree([("key", (1, 3))]))
+        field_paths.read(message, found, field_paths.tree([("key", (1, 3))]))
         messages.read_exception(message, found)
-    except Malformed:
+    except MalformedMessage:
         pass
 
 
@@ -109,12 +122,12 @@
 def test_a_cut_message_is_malformed_wherever_it_is_cut(struct: Value, encoding: Encoding, data: st.DataObject) -> None:
     message = apache(encoding, struct)
     cut = message[: data.draw(st.integers(0, len(message) - 1))]
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessage):
         convert(cut, messages.read_header(cut, encoding), Encoding(1 - encoding), 1)
 
 
 def nested(encoding: Encoding, depth: int) -> bytes:
-    start = apache(encoding, (T.STRUCT, []))[:-1]
+    start = apache(encoding, (TType.STRUCT, []))[:-1]
     return start + (b"\x0c\0\1" if encoding is Encoding.BINARY else b"\x1c") * depth + b"\0" * (depth + 1)
 
 
@@ -126,9 +139,9 @@
     for walk in (
         lambda: SKIPS[encoding](deep, found.body_at),
         lambda: convert(deep, found, Encoding(1 - encoding), 1),
-        lambda: paths.read(deep, found, paths.tree([("key", (2,))])),
+        lambda: field_paths.read(deep, found, field_paths.tree([("key", (2,))])),
     ):
-        with pytest.raises(Malformed, match="levels"):
+        with pytest.raises(MalformedMessage, match="levels"):
             walk()
 
 
@@ -152,20 +165,20 @@
 
 @pytest.mark.parametrize(("encoding", "body", "why"), BAD)
 def test_hostile_bodies_end_at_once(encoding: Encoding, body: bytes, why: str) -> None:
-    message = apache(encoding, (T.STRUCT, []))[:-1] + body
+    message = apache(encoding, (TType.STRUCT, []))[:-1] + body
     found = header(message, encoding)
-    with pytest.raises(Malformed, match=why):
+    with pytest.raises(MalformedMessage, match=why):
         SKIPS[encoding](message, found.body_at)
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessage):
         convert(message, found, Encoding(1 - encoding), 1)
 
 
 def test_old_clients_that_send_no_version_are_read() -> None:
     message = b"\0\0\0\3ask" + b"\1" + b"\0\0\0\x09" + b"\0"
     found = header(message, Encoding.BINARY)
-    assert (found.kind, found.name, found.seqid, found.body_at) == (Kind.CALL, b"ask", 9, 12)
+    assert (found.message_type, found.name, found.seqid, found.body_at) == (MessageType.CALL, b"ask", 9, 12)
     assert with_seqid(message, found, 1) == b"\0\0\0\3ask\1\0\0\0\1\0"
-    strict = apache(Encoding.COMPACT, (T.STRUCT, []), "ask", 9)
+    strict = apache(Encoding.COMPACT, (TType.STRUCT, []), "ask", 9)
     assert convert(message, found, Encoding.COMPACT, 9) == strict
 
 
@@ -185,7 +198,7 @@
     ],
 )
 def test_headers_that_are_none_are_refused(message: bytes, encoding: Encoding) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessage):
         messages.read_header(message, encoding)
 
 
@@ -198,7 +211,7 @@
 
     written = messages.exception(encoding, b"ask", -3, 6, "no endpoint answered é")
     protocol = PROTOCOLS[encoding](TMemoryBuffer(written))
-    assert protocol.readMessageBegin() == ("ask", Kind.EXCEPTION, -3)
+    assert protocol.readMessageBegin() == ("ask", MessageType.EXCEPTION, -3)
     error = TApplicationException()
     error.read(protocol)
     assert (error.type, error.message) == (6, "no endpoint answered é")
@@ -238,6 +251,6 @@
 def test_what_can_begin_no_frame_is_told_by_its_first_four_bytes(start: bytes, why: str) -> None:
     for step in (1, len(start)):
         reader = FrameReader()
-        with pytest.raises(Malformed, match=why):
+        with pytest.raises(MalformedMessage, match=why):
             for at in range(0, len(start), step):
                 reader.feed(start[at : at + step])
--- a/tests/thrift/test_hard.py
+++ b/tests/thrift/test_hard.py
@@ -9,10 +9,10 @@
 import pytest
 
 from eiderhub.protocols.thrift import messages
-from eiderhub.protocols.thrift.answers import LOAD_SHEDDING
-from eiderhub.protocols.thrift.frames import framed
-from eiderhub.protocols.thrift.plan import Options
-from eiderhub.protocols.thrift.wire import MAX_FRAME, Encoding, Failure, T
+from eiderhub.protocols.thrift.admission import ListenerOptions
+from eiderhub.protocols.thrift.definitions import MAX_FRAME, Encoding, ExceptionType, TType
+from eiderhub.protocols.thrift.framing import framed
+from eiderhub.protocols.thrift.replies import LOAD_SHEDDING
 from eiderhub.sidecar import callers
 from tests.sidecar_support import Sidecar, leave, run
 from tests.thrift.peers import SHED, AskedThrift, ThriftClient, ThriftFake
@@ -23,8 +23,8 @@
 
 
 def sidecar(endpoints: int = 1, **changes: Any) -> Sidecar:
-    options = {"tenant": "acme", "fields": FIELDS, "shedding": frozenset((SHED,)), **changes}
-    return Sidecar(endpoints, thrift=Options("127.0.0.1", 0, **options), fake=ThriftFake)
+    options = {"default_tenant": "acme", "field_paths": FIELDS, "shed_exception_types": frozenset((SHED,)), **changes}
+    return Sidecar(endpoints, thrift=ListenerOptions("127.0.0.1", 0, **options), fake=ThriftFake)
 
 
 async def asked(world: Sidecar, endpoint: int = 0) -> AskedThrift:
@@ -71,8 +71,8 @@
                 rest = await reader.read()
             if rest:  # told as an exception, where the caller speaks Thrift
                 message = rest[4:]
-                header = messages.read_header(message, messages.encoding_of(message))
-                assert messages.read_exception(message, header)[0] == Failure.PROTOCOL_ERROR
+                header = messages.read_header(message, messages.detect_encoding(message))
+                assert messages.read_exception(message, header)[0] == ExceptionType.PROTOCOL_ERROR
             writer.close()
             client = await ThriftClient.connect(world.thrift_port, Encoding.BINARY)
             client.send("pay")
@@ -96,7 +96,7 @@
             client.writer.write(b"\0\0\0\0")
             answers = [await client.answer() for _ in numbers]
             assert [a.header.seqid for a in answers] == numbers
-            assert {a.kind for a in answers} == {Failure.PROTOCOL_ERROR}
+            assert {a.kind for a in answers} == {ExceptionType.PROTOCOL_ERROR}
             assert await client.reader.read() == b""
 
     run(test())
@@ -154,7 +154,7 @@
                 call.reply()
                 assert [(await client.answer()).kind for _ in range(2)] == [None, None]
             else:
-                assert (await client.answer()).kind == Failure.PROTOCOL_ERROR  # of the one that was taken
+                assert (await client.answer()).kind == ExceptionType.PROTOCOL_ERROR  # of the one that was taken
                 assert await client.reader.read() == b""
                 assert world.endpoints[0].received.empty()
 
@@ -163,7 +163,7 @@
 
 def test_a_flood_of_calls_is_read_no_further_than_there_are_places() -> None:
     async def test() -> None:
-        async with sidecar(calls=4) as world:
+        async with sidecar(max_pending_calls=4) as world:
             client = await ThriftClient.connect(world.thrift_port, Encoding.BINARY)
             for _ in range(2000):
                 client.send("look")
@@ -191,7 +191,7 @@
     """While they wait the caller is read no further, so its end is not heard by reading."""
 
     async def test() -> None:
-        async with sidecar(calls=1) as world:
+        async with sidecar(max_pending_calls=1) as world:
             client = await ThriftClient.connect(world.thrift_port, Encoding.BINARY)
             for _ in range(3):
                 client.send("pay")
@@ -208,14 +208,14 @@
 @pytest.mark.parametrize(
     ("changes", "send", "kind", "text"),
     [
-        ({"tenant": None}, {}, Failure.PROTOCOL_ERROR, "tenant"),
-        ({"fields": {"tenant": (1,)}}, {}, Failure.PROTOCOL_ERROR, "tenant"),
-        ({}, {"deadline_ms": -5}, Failure.PROTOCOL_ERROR, "deadline_ms"),
-        ({}, {"key": b""}, Failure.PROTOCOL_ERROR, "key"),
-        ({}, {"key": b"x" * 200}, Failure.PROTOCOL_ERROR, "key"),
-        ({}, {"name": "nothing"}, Failure.UNKNOWN_METHOD, "no route"),
-        ({}, {"kind": 2}, Failure.INVALID_MESSAGE_TYPE, "no call"),
-        ({"fields": {"key": (3,)}}, {}, Failure.PROTOCOL_ERROR, "key"),
+        ({"default_tenant": None}, {}, ExceptionType.PROTOCOL_ERROR, "tenant"),
+        ({"field_paths": {"tenant": (1,)}}, {}, ExceptionType.PROTOCOL_ERROR, "tenant"),
+        ({}, {"deadline_ms": -5}, ExceptionType.PROTOCOL_ERROR, "deadline_ms"),
+        ({}, {"key": b""}, ExceptionType.PROTOCOL_ERROR, "key"),
+        ({}, {"key": b"x" * 200}, ExceptionType.PROTOCOL_ERROR, "key"),
+        ({}, {"name": "nothing"}, ExceptionType.UNKNOWN_METHOD, "no route"),
+        ({}, {"kind": 2}, ExceptionType.INVALID_MESSAGE_TYPE, "no call"),
+        ({"field_paths": {"key": (3,)}}, {}, ExceptionType.PROTOCOL_ERROR, "key"),
     ],
 )
 def test_calls_that_can_not_be_taken_are_told_why_and_the_connection_goes_on(
@@ -236,13 +236,13 @@
 
 def test_a_request_id_that_is_open_is_turned_away_on_whichever_connection() -> None:
     async def test() -> None:
-        async with sidecar(fields={"request_id": (1,)}) as world:
+        async with sidecar(field_paths={"request_id": (1,)}) as world:
             one = await ThriftClient.connect(world.thrift_port, Encoding.BINARY)
             two = await ThriftClient.connect(world.thrift_port, Encoding.COMPACT)
             one.send("pay", key=b"r1")
             call = await asked(world)
             two.send("pay", key=b"r1")
-            assert (await two.answer()).kind == Failure.PROTOCOL_ERROR
+            assert (await two.answer()).kind == ExceptionType.PROTOCOL_ERROR
             call.reply()
             assert (await one.answer()).kind is None
             two.send("pay", key=b"r1")
@@ -258,7 +258,7 @@
 def spoil(call: AskedThrift, how: str) -> None:
     seqid, name = call.header.seqid, call.header.name.decode()
     encoding = call.header.encoding
-    result = T.STRUCT, [(0, (T.STRING, b"no"))]
+    result = TType.STRUCT, [(0, (TType.STRING, b"no"))]
     if how == "wrong seqid":
         call.send(apache(encoding, result, name, seqid + 1, kind=2))
     elif how == "wrong name":
@@ -297,7 +297,7 @@
             client.send("pay")
             at, call = await first(world)
             spoil(call, how)
-            assert (await client.answer()).kind == Failure.INTERNAL_ERROR
+            assert (await client.answer()).kind == ExceptionType.INTERNAL_ERROR
             await world.endpoints[at].ends.get()  # the sidecar has closed it
             client.send("look")
             _, call = await first(world)
@@ -317,7 +317,7 @@
             call = await asked(world)
             call.writer.write(b"\0\0\0\x40\x80\x01")
             async with asyncio.timeout(2):
-                assert (await client.answer()).kind == Failure.INTERNAL_ERROR
+                assert (await client.answer()).kind == ExceptionType.INTERNAL_ERROR
             assert world.host.upstream.open_connections == 0
 
     run(test())
@@ -335,7 +335,7 @@
             answers = [await client.answer() for _ in numbers]
             assert [a.header.seqid for a in answers] == numbers
             failed = [a.kind for a in answers]
-            assert sorted(failed, key=str) == [Failure.INTERNAL_ERROR, None, None, None]
+            assert sorted(failed, key=str) == [ExceptionType.INTERNAL_ERROR, None, None, None]
             assert all(fake.received.empty() for fake in world.endpoints)
 
     run(test())
@@ -347,7 +347,7 @@
 
     async def test() -> None:
         size = 6 << 20
-        async with sidecar(2, most=size + 1024, fields={}) as world:
+        async with sidecar(2, max_frame_bytes=size + 1024, field_paths={}) as world:
             slow = world.endpoints[0]
             slow.server.close()
             with socket.create_server(("127.0.0.1", 0)) as deaf:
@@ -394,7 +394,7 @@
             call.reset()  # after its last byte has left: nobody knows whether it ran
             number = client.send("pay")
             _, call = await first(world)
-            assert call.header.kind == 1
+            assert call.header.message_type == 1
             call.reply()
             answer = await client.answer()
             assert (answer.header.seqid, answer.kind) == (number, None)
@@ -414,16 +414,16 @@
             client = await ThriftClient.connect(world.thrift_port, Encoding.BINARY)
             client.send("pay")
             one, call = await first(world)
-            call.raises(Failure.UNKNOWN_METHOD)
+            call.raises(ExceptionType.UNKNOWN_METHOD)
             two, call = await first(world)
             assert one != two
             call.reply()
             assert (await client.answer()).kind is None
             client.send("pay")
             for _ in range(2):
-                (await first(world))[1].raises(Failure.UNKNOWN_METHOD)
+                (await first(world))[1].raises(ExceptionType.UNKNOWN_METHOD)
             answer = await client.answer()
-            assert answer.kind == Failure.UNKNOWN_METHOD
+            assert answer.kind == ExceptionType.UNKNOWN_METHOD
             assert all(fake.received.empty() for fake in world.endpoints)
 
     run(test())
@@ -437,7 +437,7 @@
             client.send("pay")
             (await first(world))[1].raises(kind)
             answer = await client.answer()
-            assert answer.kind == Failure.INTERNAL_ERROR
+            assert answer.kind == ExceptionType.INTERNAL_ERROR
             assert answer.text is not None and "may have run" in answer.text
             assert all(fake.received.empty() for fake in world.endpoints)
 
@@ -446,7 +446,7 @@
 
 def test_endpoints_are_spoken_to_in_the_encoding_that_they_state() -> None:
     async def test() -> None:
-        async with sidecar(stated=True) as world:
+        async with sidecar(encoding_from_labels=True) as world:
             host, _, port = world.endpoints[0].address.rpartition(":")
             client = await ThriftClient.connect(world.thrift_port, Encoding.BINARY)
             for label, encoding in (("thrift=compact", Encoding.COMPACT), ("thrift=binary", Encoding.BINARY)):
--- a/tests/thrift/test_libraries.py
+++ b/tests/thrift/test_libraries.py
@@ -25,9 +25,9 @@
 from thriftpy2.thrift import TProcessor
 from thriftpy2.transport import TFramedTransportFactory, TServerSocket
 
-from eiderhub.protocols.thrift.answers import LOAD_SHEDDING
-from eiderhub.protocols.thrift.plan import Options
-from eiderhub.protocols.thrift.wire import Encoding, T
+from eiderhub.protocols.thrift.admission import ListenerOptions
+from eiderhub.protocols.thrift.definitions import Encoding, TType
+from eiderhub.protocols.thrift.replies import LOAD_SHEDDING
 from eiderhub.routing.compile import plan
 from eiderhub.routing.table import Route
 from eiderhub.settings import parse_settings
@@ -119,7 +119,7 @@
                 self.address = address
                 return self
 
-        options = Options("127.0.0.1", 0, encoding=endpoint, tenant="acme", fields=fields)
+        options = ListenerOptions("127.0.0.1", 0, endpoint_encoding=endpoint, default_tenant="acme", field_paths=fields)
         routes = plan(parse_settings(SETUP), [Route("notes", "pay", protocol="thrift", call="note")], {})
         async with Sidecar(thrift=options, fake=Elsewhere, plan=routes) as sidecar:
             await asyncio.to_thread(talk, sidecar.thrift_port, caller, handler)
@@ -165,19 +165,23 @@
         protocol = APACHE[encoding](framing)
 
         def call(name: str, kind: int, key: bytes) -> None:
-            asked = [(1, (T.STRING, key)), (2, (T.I32, 2000)), (3, (T.LIST, (T.STRUCT, [[(1, (T.I32, 5))]])))]
+            asked = [
+                (1, (TType.STRING, key)),
+                (2, (TType.I32, 2000)),
+                (3, (TType.LIST, (TType.STRUCT, [[(1, (TType.I32, 5))]]))),
+            ]
             protocol.writeMessageBegin(name, kind, 12)
-            write(protocol, T.STRUCT, [(1, (T.STRUCT, asked))])
+            write(protocol, TType.STRUCT, [(1, (TType.STRUCT, asked))])
             protocol.writeMessageEnd()
             framing.flush()
 
         call("pay", TMessageType.CALL, b"k")
         assert protocol.readMessageBegin() == ("pay", TMessageType.REPLY, 12)
         protocol.readStructBegin()
-        assert protocol.readFieldBegin()[1:] == (T.I64, 0)
+        assert protocol.readFieldBegin()[1:] == (TType.I64, 0)
         assert protocol.readI64() == 1 << 40
         protocol.readFieldEnd()
-        assert protocol.readFieldBegin()[1] == T.STOP
+        assert protocol.readFieldBegin()[1] == TType.STOP
         protocol.readStructEnd()
         protocol.readMessageEnd()
         call("nothing", TMessageType.CALL, b"k")
@@ -194,7 +198,7 @@
 @pytest.mark.parametrize("encoding", list(Encoding))
 def test_refusals_reach_clients_as_exceptions_of_a_type_of_their_own(encoding: Encoding) -> None:
     async def test() -> None:
-        options = Options("127.0.0.1", 0, tenant="acme")
+        options = ListenerOptions("127.0.0.1", 0, default_tenant="acme")
         async with Sidecar(0, thrift=options, fake=ThriftFake) as sidecar:
 
             def talk() -> OtherException:
--- a/tests/thrift/test_program.py
+++ b/tests/thrift/test_program.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from eiderhub.protocols.thrift.wire import Encoding, Failure
+from eiderhub.protocols.thrift.definitions import Encoding, ExceptionType
 from standins.discovery import row
 from standins.program import running
 from tests.sidecar_support import SETUP, run
@@ -82,7 +82,7 @@
         async with running(tmp_path, document(fake), OPERATOR) as (process, _, _):
             client = await ThriftClient.connect(logged_port(tmp_path), Encoding.BINARY)
             client.send("Refund:issue")
-            assert (await client.answer()).kind == Failure.UNKNOWN_METHOD
+            assert (await client.answer()).kind == ExceptionType.UNKNOWN_METHOD
             client.send("Invoice:issue", 30_000)
             call = await asked(fake)
             (tmp_path / "operator.toml").write_text(OPERATOR.replace('"Invoice"', '"Refund"'))
@@ -98,7 +98,7 @@
                     break
                 next_call.result().reply()
                 await answer
-            assert answer.result().kind == Failure.UNKNOWN_METHOD
+            assert answer.result().kind == ExceptionType.UNKNOWN_METHOD
             call.reply()
             assert (await client.answer()).kind is None
             client.send("Refund:issue", 30_000)
--- a/tests/thrift/values.py
+++ b/tests/thrift/values.py
@@ -10,7 +10,7 @@
 from thrift.protocol.TCompactProtocol import TCompactProtocol
 from thrift.transport.TTransport import TMemoryBuffer
 
-from eiderhub.protocols.thrift.wire import Encoding, T
+from eiderhub.protocols.thrift.definitions import Encoding, TType
 
 PROTOCOLS = {Encoding.BINARY: TBinaryProtocol, Encoding.COMPACT: TCompactProtocol}
 Value = tuple[int, Any]  # a type, and a value of it
@@ -21,20 +21,20 @@
 
 
 SCALARS: dict[int, st.SearchStrategy[Any]] = {
-    T.BOOL: st.booleans(),
-    T.BYTE: integers(8),
-    T.I16: integers(16),
-    T.I32: integers(32),
-    T.I64: integers(64),
-    T.DOUBLE: st.floats(),
-    T.STRING: st.binary(max_size=40),
-    T.UUID: st.uuids(),
+    TType.BOOL: st.booleans(),
+    TType.BYTE: integers(8),
+    TType.I16: integers(16),
+    TType.I32: integers(32),
+    TType.I64: integers(64),
+    TType.DOUBLE: st.floats(),
+    TType.STRING: st.binary(max_size=40),
+    TType.UUID: st.uuids(),
 }
 
 
 def struct_of(inner: st.SearchStrategy[Value]) -> st.SearchStrategy[Value]:
     fields = st.dictionaries(st.integers(1, 0x7FFF) | st.integers(1, 40), inner, max_size=6)
-    return fields.map(lambda f: (T.STRUCT, list(f.items())))
+    return fields.map(lambda f: (TType.STRUCT, list(f.items())))
 
 
 def container_of(inner: st.SearchStrategy[Value]) -> st.SearchStrategy[Value]:
@@ -42,7 +42,9 @@
 
     def filled(first: Value) -> st.SearchStrategy[Value]:
         one = SCALARS[first[0]] if first[0] in SCALARS else st.just(first[1])
-        return st.tuples(st.sampled_from((T.LIST, T.SET)), st.tuples(st.just(first[0]), st.lists(one, max_size=20)))
+        return st.tuples(
+            st.sampled_from((TType.LIST, TType.SET)), st.tuples(st.just(first[0]), st.lists(one, max_size=20))
+        )
 
     return inner.flatmap(filled)
 
@@ -53,7 +55,7 @@
         keys = SCALARS[key[0]] if key[0] in SCALARS else st.just(key[1])
         values = SCALARS[value[0]] if value[0] in SCALARS else st.just(value[1])
         rows = st.lists(st.tuples(keys, values), max_size=5)
-        return st.tuples(st.just(T.MAP), st.tuples(st.just(key[0]), st.just(value[0]), rows))
+        return st.tuples(st.just(TType.MAP), st.tuples(st.just(key[0]), st.just(value[0]), rows))
 
     return st.tuples(inner, inner).flatmap(filled)
 
@@ -67,12 +69,12 @@
 
 def write(protocol: Any, kind: int, value: Any) -> None:
     simple = {
-        T.BOOL: "writeBool", T.BYTE: "writeByte", T.I16: "writeI16", T.I32: "writeI32", T.I64: "writeI64",
-        T.DOUBLE: "writeDouble", T.STRING: "writeBinary", T.UUID: "writeUuid",
+        TType.BOOL: "writeBool", TType.BYTE: "writeByte", TType.I16: "writeI16", TType.I32: "writeI32",
+        TType.I64: "writeI64", TType.DOUBLE: "writeDouble", TType.STRING: "writeBinary", TType.UUID: "writeUuid",
     }  # fmt: skip
     if kind in simple:
         getattr(protocol, simple[kind])(value)
-    elif kind == T.STRUCT:
+    elif kind == TType.STRUCT:
         protocol.writeStructBegin("s")
         for number, (inner, one) in value:
             protocol.writeFieldBegin("f", inner, number)
@@ -80,7 +82,7 @@
             protocol.writeFieldEnd()
         protocol.writeFieldStop()
         protocol.writeStructEnd()
-    elif kind == T.MAP:
+    elif kind == TType.MAP:
         key, inner, rows = value
         protocol.writeMapBegin(key, inner, len(rows))
         for left, right in rows:
@@ -89,7 +91,7 @@
         protocol.writeMapEnd()
     else:
         element, rows = value
-        begin, end = ("writeListBegin", "writeListEnd") if kind == T.LIST else ("writeSetBegin", "writeSetEnd")
+        begin, end = ("writeListBegin", "writeListEnd") if kind == TType.LIST else ("writeSetBegin", "writeSetEnd")
         getattr(protocol, begin)(element, len(rows))
         for one in rows:
             write(protocol, element, one)
@@ -108,9 +110,9 @@
 
 def without_types_of_empty_maps(kind: int, value: Any) -> Any:
     """What compact can say: an empty map has no types there."""
-    if kind == T.STRUCT:
+    if kind == TType.STRUCT:
         return [(n, (k, without_types_of_empty_maps(k, v))) for n, (k, v) in value]
-    if kind == T.MAP:
+    if kind == TType.MAP:
         key, inner, rows = value
         if not rows:
             return 0, 0, []
@@ -119,7 +121,7 @@
             inner,
             [(without_types_of_empty_maps(key, a), without_types_of_empty_maps(inner, b)) for a, b in rows],
         )
-    if kind in (T.LIST, T.SET):
+    if kind in (TType.LIST, TType.SET):
         return value[0], [without_types_of_empty_maps(value[0], one) for one in value[1]]
     return value
 
