--- a/eiderhub/sidecar/__main__.py
+++ b/eiderhub/sidecar/__main__.py
@@ -13,7 +13,7 @@
 
 import uvloop
 
-from eiderhub.protocols.http1.server import BACKLOG, Server
+from eiderhub.protocols.http1.server import LISTEN_BACKLOG, Server
 from eiderhub.sidecar.callers import Callers
 from eiderhub.sidecar.clock import now_us
 from eiderhub.sidecar.config import Config, ConfigError, load, needs_restart
@@ -98,7 +98,7 @@
     """
     poll = select.poll()
     poll.register(listener.sockets[0].fileno(), select.POLLIN)
-    for _ in range(BACKLOG):  # the loop accepts one in each iteration; a flood without end is reset eventually
+    for _ in range(LISTEN_BACKLOG):  # the loop accepts one in each iteration; a flood without end is reset eventually
         if not poll.poll(0):
             break
         await asyncio.sleep(0)
--- a/tests/test_caller_disconnects.py
+++ b/tests/test_caller_disconnects.py
@@ -8,7 +8,7 @@
 import pytest
 
 from eiderhub.interface import Outcome
-from eiderhub.protocols.http1.server import MAX_BEHIND
+from eiderhub.protocols.http1.server import MAX_UNPARSED_BYTES
 from eiderhub.sidecar.callers import CHECK_INTERVAL_S
 from tests.sidecar_support import SETUP, Client, FakeServer, Sidecar, leave, next_request, run
 from tests.test_sidecar import RecordingCaller, direct_request
@@ -25,7 +25,7 @@
     assert 2 * CHECK_INTERVAL_S < MAX_FORWARD_DELAY_S
 
 
-@pytest.mark.parametrize("behind", [1, MAX_BEHIND], ids=["one pipelined", "more pipelined than is read"])
+@pytest.mark.parametrize("behind", [1, MAX_UNPARSED_BYTES], ids=["one pipelined", "more pipelined than is read"])
 @pytest.mark.parametrize("how", ["close", "half close", "reset"])
 def test_pipelined_requests_of_a_disconnected_caller_are_not_forwarded(how: str, behind: int) -> None:
     """Prevents a late detection of the disconnect.
@@ -43,7 +43,7 @@
             await client.writer.drain()
             for _ in range(3 if behind > 1 else 0):  # the last of them fill the read-ahead buffer
                 await asyncio.sleep(0)
-                client.send(body=b"x" * (MAX_BEHIND // 2))
+                client.send(body=b"x" * (MAX_UNPARSED_BYTES // 2))
                 await client.writer.drain()
             leave(client.writer, how)
             await attempt_cancelled(sidecar.endpoints[0])
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -149,10 +149,10 @@
             await sidecar.endpoints[0].next()
             client.send(body=b"1")
             (connection,) = sidecar.callers.connections
-            while not connection.waiting:  # type: ignore[attr-defined]
+            while not connection.queued_requests:  # type: ignore[attr-defined]
                 await asyncio.sleep(0)
             client.send(body=b"2")
-            while not connection._behind:  # type: ignore[attr-defined]
+            while not connection._unparsed:  # type: ignore[attr-defined]
                 await asyncio.sleep(0)
             sidecar.callers.closing = True
             sidecar.host.close()
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -15,8 +15,8 @@
 
 from eiderhub.interface import ListForm, Readiness
 from eiderhub.membership.endpoint_list import read_endpoint_list
-from eiderhub.protocols.http1.client import Exchange, Response
-from eiderhub.protocols.http1.server import FAILURES
+from eiderhub.protocols.http1.client import RequestPayload, Response
+from eiderhub.protocols.http1.server import STATUS_BY_FAILURE
 from eiderhub.sidecar import __main__ as entry
 from eiderhub.sidecar import host as hosting
 from eiderhub.sidecar.clock import Timer, now_us
@@ -48,13 +48,13 @@
         self.statuses.put_nowait(503)
 
     def send_failure(self, reason: FailureReason) -> None:
-        self.statuses.put_nowait(FAILURES[reason])
+        self.statuses.put_nowait(STATUS_BY_FAILURE[reason])
 
 
 def direct_request(caller: RecordingCaller, class_name: str = "pay") -> Request:
     """Return a request as the HTTP server passes it to the host; its head ends where the deadline header follows."""
     head = b"POST /pay HTTP/1.1\r\nHost: e\r\nReq-Id: d1\r\nContent-Length: 0\r\n"
-    return Request(caller, class_name, "acme", None, now_us() + 2_000_000, Exchange(head, b""))
+    return Request(caller, class_name, "acme", None, now_us() + 2_000_000, RequestPayload(head, b""))
 
 
 # --- forwarding ---
