--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -14,9 +14,9 @@
 
 from eiderhub.interface import Effect, RequestClass, Settings, Tenant
 from eiderhub.protocols.http1.server import Incoming, Server
-from eiderhub.routing.compile import plan
-from eiderhub.routing.plan import Plan, plain
-from eiderhub.routing.table import Route, read_pattern
+from eiderhub.routing.plan import Plan, default_plan
+from eiderhub.routing.plan_compiler import compile_plan
+from eiderhub.routing.table import Route, parse_pattern
 from eiderhub.sidecar.callers import Callers
 from eiderhub.sidecar.resource_limits import ByteBudget
 
@@ -49,8 +49,8 @@
 def main() -> None:
     host = Mock(settings=SETTINGS)
     server = Server(host, Callers(100, 3.0, ByteBudget(1 << 20)))
-    routes = [Route(f"r{i}", "look", read_pattern(f"/look/part-{i}/{{item}}")) for i in range(ROUTES)]
-    plans = {"no routes": plain(SETTINGS), f"{ROUTES} routes": plan(SETTINGS, routes, {})}
+    routes = [Route(f"r{i}", "look", parse_pattern(f"/look/part-{i}/{{item}}")) for i in range(ROUTES)]
+    plans = {"no routes": default_plan(SETTINGS), f"{ROUTES} routes": compile_plan(SETTINGS, routes, {})}
     asked = requests()
     least = dict.fromkeys(plans, float("inf"))
     for _ in range(ROUNDS):
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -11,10 +11,10 @@
 import tracemalloc
 
 from eiderhub.interface import Effect, RequestClass, Settings
-from eiderhub.routing.compile import plan
-from eiderhub.routing.plan import plain
-from eiderhub.routing.table import Route, read_pattern
-from eiderhub.routing.target import Asked, segments_of
+from eiderhub.routing.plan import default_plan
+from eiderhub.routing.plan_compiler import compile_plan
+from eiderhub.routing.request_target import RequestAttributes, segments_of
+from eiderhub.routing.table import Route, parse_pattern
 
 SIZES = (10, 100, 1000, 10_000)
 LOOKUPS = 20_000
@@ -32,7 +32,7 @@
             "tenant": ("/look/part", f"t{i}"),
             "mixed": ((f"/look/part-{i}", f"/look/part-{i}/{{id}}", f"/p{i}/*")[i % 3], f"t{i}" if i % 2 else None),
         }[shape]
-        made.append(Route(f"r{i}", "look", read_pattern(path), tenant=tenant))
+        made.append(Route(f"r{i}", "look", parse_pattern(path), tenant=tenant))
     return made
 
 
@@ -52,13 +52,13 @@
 
 
 def main() -> None:
-    first_part = plain(SETTINGS)
+    first_part = default_plan(SETTINGS)
     print(f"{'shape':<10} {'routes':>7} {'look-up':>10} {'x 10 routes':>12} {'x first part':>13} {'memory':>10}")
     for shape in ("exact", "template", "prefix", "tenant", "mixed"):
         plans, asked = {}, {}
         for size in SIZES:
             tracemalloc.start()
-            plans[size] = plan(SETTINGS, routes(size, shape), {})
+            plans[size] = compile_plan(SETTINGS, routes(size, shape), {})
             memory = tracemalloc.get_traced_memory()[0]
             tracemalloc.stop()
             asked[size] = (paths(size, shape, random.Random(size)), memory)
@@ -66,8 +66,8 @@
         base = []
         for _ in range(ROUNDS):
             for size in SIZES:
-                times[size].append(spent(plans[size].grade, asked[size][0]))
-            base.append(spent(first_part.grade, asked[10][0]))
+                times[size].append(spent(plans[size].class_of, asked[size][0]))
+            base.append(spent(first_part.class_of, asked[10][0]))
         for size in SIZES:
             ratio = statistics.median(a / b for a, b in zip(times[size], times[10], strict=True))
             against = statistics.median(a / b for a, b in zip(times[size], base, strict=True))
@@ -81,7 +81,7 @@
     """Microseconds for one look-up, its path read anew."""
     begun = time.perf_counter()
     for path, tenant in requests:
-        grade(Asked("http", "GET", segments_of(path), tenant=tenant))  # type: ignore[operator]
+        grade(RequestAttributes("http", "GET", segments_of(path), tenant=tenant))  # type: ignore[operator]
     return (time.perf_counter() - begun) / len(requests) * 1e6
 
 
--- a/eiderhub/config/across.py
+++ b/eiderhub/config/across.py
@@ -6,9 +6,9 @@
 from typing import Any, NamedTuple
 
 from eiderhub.config.load import Examined
-from eiderhub.schema.declared import STRICTNESS, fold
-from eiderhub.schema.findings import Spot
-from eiderhub.schema.units import show_duration
+from eiderhub.schema.declared_classes import STRICTNESS, fold_name
+from eiderhub.schema.findings import Location
+from eiderhub.schema.units import format_duration
 
 
 class _Class(NamedTuple):
@@ -16,7 +16,7 @@
 
     name: str
     row: dict[str, Any]
-    spot: Spot
+    location: Location
     layer: int
     tiers: tuple[str, ...]
 
@@ -29,10 +29,10 @@
         settings = one.pair.settings
         for i, row in enumerate(one.pair.categories):
             if "Name" in row and "Effect" in row:
-                spot = one.pair.sidecar / "settings" / "Categories" / i
+                location = one.pair.sidecar / "settings" / "Categories" / i
                 tiers = tuple(settings.get("Tiers") or [""])
-                found = _Class(row["Name"], row, spot, settings.get("Layer", 0), tiers)
-                classes.setdefault(fold(row["Name"]), []).append(found)
+                found = _Class(row["Name"], row, location, settings.get("Layer", 0), tiers)
+                classes.setdefault(fold_name(row["Name"]), []).append(found)
     for same in classes.values():
         _effects(same)
         _tiers(same)
@@ -59,13 +59,14 @@
     """A call goes on down the chain: what one tier takes for unsafe, no other may send again."""
     strictest = max(same, key=lambda c: STRICTNESS[c.row["Effect"]])
     for one in same:
-        if one.spot.report is strictest.spot.report:
+        if one.location.report is strictest.location.report:
             continue  # two names in one file are that file's own finding
         if STRICTNESS[one.row["Effect"]] < STRICTNESS[strictest.row["Effect"]]:
-            (one.spot / "Effect").error(
+            (one.location / "Effect").error(
                 "effects-differ",
                 f"{one.name!r} is {one.row['Effect']} here and {strictest.row['Effect']} in "
-                f"{strictest.spot.report.file}:{strictest.spot.report.line((*strictest.spot.path, 'Effect'))}",
+                f"{strictest.location.report.file}:"
+                f"{strictest.location.report.line((*strictest.location.path, 'Effect'))}",
                 "One of the two would send again what the other must not see twice",
                 f'Write "{strictest.row["Effect"]}" in both, or mend the other',
             )
@@ -77,12 +78,12 @@
         outer = [c for c in same if c.tiers == inner.tiers and c.layer < inner.layer and "DeadlineUs" in c.row]
         if not outer or "DeadlineUs" not in inner.row:
             continue
-        above = min(outer, key=lambda c: (c.row["DeadlineUs"], c.spot.report.file))
+        above = min(outer, key=lambda c: (c.row["DeadlineUs"], c.location.report.file))
         if inner.row["DeadlineUs"] > above.row["DeadlineUs"]:
-            (inner.spot / "DeadlineUs").error(
+            (inner.location / "DeadlineUs").error(
                 "outlasts-tier-above",
-                f"{show_duration(inner.row['DeadlineUs'])}, and the tier above gives up after "
-                f"{show_duration(above.row['DeadlineUs'])} ({above.spot.report.file})",
+                f"{format_duration(inner.row['DeadlineUs'])}, and the tier above gives up after "
+                f"{format_duration(above.row['DeadlineUs'])} ({above.location.report.file})",
                 "The caller is gone before the time is up, and the work goes on for nobody",
                 "Write less here, or more there",
             )
--- a/eiderhub/config/check.py
+++ b/eiderhub/config/check.py
@@ -11,8 +11,8 @@
 from eiderhub.config.across import across
 from eiderhub.config.load import Examined, Source, examine
 from eiderhub.config.write import outcome
-from eiderhub.schema.files import Unreadable, read_bytes, read_text, read_toml
-from eiderhub.schema.findings import Finding, Report, Severity, Spot, sort
+from eiderhub.schema.files import UnreadableFileError, decode_text, parse_toml, read_bytes
+from eiderhub.schema.findings import Finding, Location, Report, Severity, sort_findings
 
 MOST_FILES = 10_000  # of one call: a fleet of a thousand applications has two each
 SUFFIXES = (".json", ".toml")
@@ -50,19 +50,19 @@
     for path in descriptions:
         try:
             result.findings += outcome(path).findings
-        except Unreadable as error:  # it was there a moment ago; what else was found still counts
+        except UnreadableFileError as error:  # it was there a moment ago; what else was found still counts
             result.unreadable.append(str(error))
     for unit in units([path for path in files if path not in descriptions]):
         try:
             examined = examine(Source.of(unit.sidecar), Source.of(unit.operator))
-        except Unreadable as error:
+        except UnreadableFileError as error:
             result.unreadable.append(str(error))
             continue
         result.examined.append(examined)
     across(result.examined)
     for examined in result.examined:
         result.findings += examined.findings
-    result.findings = sort(result.findings)
+    result.findings = sort_findings(result.findings)
     return result
 
 
@@ -96,7 +96,7 @@
 def _readable(path: str, result: Result) -> bool:
     try:
         read_bytes(path)
-    except Unreadable as error:
+    except UnreadableFileError as error:
         result.unreadable.append(str(error))
         return False
     return True
@@ -106,10 +106,10 @@
     """Whether a TOML file is the writer's, and no operator's file: by its keys, which have none in common."""
     report = Report(path)
     try:
-        text = read_text(read_bytes(path), Spot(report))
-    except Unreadable:
+        text = decode_text(read_bytes(path), Location(report))
+    except UnreadableFileError:
         return False
-    document = read_toml(text, report) if text is not None else None
+    document = parse_toml(text, report) if text is not None else None
     return document is not None and describe.is_description(document)
 
 
--- a/eiderhub/config/command.py
+++ b/eiderhub/config/command.py
@@ -13,11 +13,11 @@
 from eiderhub.config.check import Result, check
 from eiderhub.config.operator import OWNERS, owner
 from eiderhub.config.write import write
-from eiderhub.routing.target import Asked
-from eiderhub.schema.files import Unreadable
+from eiderhub.routing.request_target import RequestAttributes
+from eiderhub.schema.files import UnreadableFileError
 from eiderhub.schema.findings import Finding, Severity
-from eiderhub.schema.kinds import REQUIRED, Key, Kind, Named, Placed, Rows, Table
-from eiderhub.schema.units import show_duration
+from eiderhub.schema.units import format_duration
+from eiderhub.schema.value_types import REQUIRED, Key, ListOf, Located, MapOf, Table, ValueType
 from eiderhub.sidecar.config import Config
 
 
@@ -25,7 +25,7 @@
     options = _parser().parse_args(arguments)
     try:
         return int(options.run(options))
-    except Unreadable as error:
+    except UnreadableFileError as error:
         print(f"eiderhub config: {error}", file=sys.stderr)
     except OSError as error:
         print(f"eiderhub config: {error.filename}: {error.strerror}", file=sys.stderr)
@@ -132,7 +132,7 @@
     result = check(paths)
     configs = [one.config for one in result.examined if one.config is not None]
     if result.unreadable:
-        raise Unreadable("; ".join(result.unreadable))
+        raise UnreadableFileError("; ".join(result.unreadable))
     if result.status or len(configs) != 1:
         _print(result.findings)
         if not result.status:
@@ -159,7 +159,7 @@
     for pair in options.header:
         name, _, value = pair.partition("=")
         headers[name.lower().encode("latin-1", "replace")] = value.encode("latin-1", "replace")
-    asked = Asked(options.protocol, method, (), headers, query, options.tenant, service, call)
+    asked = RequestAttributes(options.protocol, method, (), headers, query, options.tenant, service, call)
     found = explaining.explain(config.plan, asked, path)
     told = dict(_told(found, config))
     if options.json:
@@ -174,18 +174,18 @@
 def _told(found: explaining.Explained, config: Config) -> Iterator[tuple[str, str]]:
     if found.route:
         yield "route", found.route
-    if found.grade is None or found.refusal:
+    if found.request_class is None or found.refusal:
         yield "answer", found.refusal
         return
-    grade = found.grade
-    yield "class", grade.variant_of or grade.name
-    yield "effect of a repeat", grade.effect.value
-    if hint := explaining.keyed_hint(grade):
+    request_class = found.request_class
+    yield "class", request_class.variant_of or request_class.name
+    yield "effect of a repeat", request_class.effect.value
+    if hint := explaining.keyed_hint(request_class):
         yield "key", hint
-    yield "pool", explaining.describe_pool(grade)
-    yield "wanted within", show_duration(grade.objective_us)
-    yield "given up after", show_duration(grade.deadline_us)
-    yield from explaining.may_do(grade, config.settings).items()
+    yield "pool", explaining.describe_pool(request_class)
+    yield "wanted within", format_duration(request_class.objective_us)
+    yield "given up after", format_duration(request_class.deadline_us)
+    yield from explaining.may_do(request_class, config.settings).items()
 
 
 def _diff(options: argparse.Namespace) -> int:
@@ -210,17 +210,17 @@
     return 0
 
 
-def _print_kind(name: str, kind: Kind) -> None:
+def _print_kind(name: str, value_type: ValueType) -> None:
     header = f"[{name}]"
-    if isinstance(kind, Named):
-        header, kind = f"[{name}.NAME]", kind.kind
-    elif isinstance(kind, Rows):
-        header, kind = f"[[{name}]]", kind.kind
-    if isinstance(kind, Placed):
-        kind = kind.kind
+    if isinstance(value_type, MapOf):
+        header, value_type = f"[{name}.NAME]", value_type.value_type
+    elif isinstance(value_type, ListOf):
+        header, value_type = f"[[{name}]]", value_type.value_type
+    if isinstance(value_type, Located):
+        value_type = value_type.value_type
     print(header)
-    for key in kind.keys if isinstance(kind, Table) else ():
-        print(f"  {key.name:<14} {key.help}\n  {'':<14} {key.kind.words}{_default(key)}")
+    for key in value_type.keys if isinstance(value_type, Table) else ():
+        print(f"  {key.name:<14} {key.help}\n  {'':<14} {key.value_type.description}{_default(key)}")
     print()
 
 
--- a/eiderhub/config/describe.py
+++ b/eiderhub/config/describe.py
@@ -7,38 +7,38 @@
 
 from eiderhub.config.sidecar_file import PART, Address
 from eiderhub.protocols.thrift.options import TABLES as THRIFT_TABLES
-from eiderhub.routing.options import EFFECTS
+from eiderhub.routing.options import EFFECT_BY_REPEAT
 from eiderhub.routing.options import TABLES as ROUTING_TABLES
-from eiderhub.schema.files import read_bytes, read_text, read_toml
-from eiderhub.schema.findings import Report, Spot
-from eiderhub.schema.kinds import (
-    BAD,
+from eiderhub.schema.files import decode_text, parse_toml, read_bytes
+from eiderhub.schema.findings import Location, Report
+from eiderhub.schema.units import format_duration
+from eiderhub.schema.value_types import (
     HOUR_US,
+    INVALID,
     NAME_TEXT,
     Choice,
     Duration,
     Flag,
     Int,
     Key,
-    Named,
+    ListOf,
+    MapOf,
     Number,
-    Rows,
-    Several,
+    OneOrMore,
     Size,
     Table,
     Text,
 )
-from eiderhub.schema.units import show_duration
 
 TIME = Duration(1, HOUR_US)
-NAMES = Several(Text(r"[^\x00-\x1f]{1,128}", "a name"), 1000)
+NAMES = OneOrMore(Text(r"[^\x00-\x1f]{1,128}", "a name"), 1000)
 APPLICATIONS = "application"  # the rows of a fleet's file
 
 CLASS = Table(
     (
         Key("wanted", TIME, "answers count in full within this time"),
         Key("give_up", TIME, "the client gives up after this time"),
-        Key("repeat", Choice(tuple(EFFECTS)), "what a repeat does"),
+        Key("repeat", Choice(tuple(EFFECT_BY_REPEAT)), "what a repeat does"),
         Key("remembered", TIME, "how long endpoints drop a repeated key; for keyed classes", None),
         Key("dropped_by", Choice(("all", "zone", "cell")), "which endpoints drop it", "all"),
         Key("worth", Number(0, 1e6), "what a request is worth", 1.0),
@@ -72,16 +72,16 @@
         Key("listen", Address(), "where callers connect"),
         Key("discovery", Address(), "where endpoints are asked for; not needed where they are named", None),
         Key("lists", Choice(("ask", "push")), "whether discovery is asked, or pushes", "ask"),
-        Key("endpoints", Several(Address(), 20_000), "endpoints known before discovery answers", ()),
+        Key("endpoints", OneOrMore(Address(), 20_000), "endpoints known before discovery answers", ()),
         Key("zone", Text(r"[^\x00-\x1f]{1,128}", "a zone's name"), "the zone of the sidecar", ""),
         Key("zones", NAMES, "all zones", None),
         Key("kinds", NAMES, "all kinds of machine", None),
         Key("rate", Number(0, 1e9, "requests a second"), "requests a second into the tier, from all sidecars"),
         Key("over_share", PART, "worth of a request over its tenant's share", 0.1),
-        Key("machine", MACHINE, "the machine of the sidecar", MACHINE.read({}, Spot(Report("")))),
-        Key("servers", SERVERS, "what the servers bear", SERVERS.read({}, Spot(Report("")))),
-        Key("classes", Named(CLASS, r"[^\x00-\x1f]{1,128}"), "the classes of requests"),
-        Key("tenants", Named(PART, r"[^\x00-\x1f]{1,128}"), "tenants and their shares", {}),
+        Key("machine", MACHINE, "the machine of the sidecar", MACHINE.read({}, Location(Report("")))),
+        Key("servers", SERVERS, "what the servers bear", SERVERS.read({}, Location(Report("")))),
+        Key("classes", MapOf(CLASS, r"[^\x00-\x1f]{1,128}"), "the classes of requests"),
+        Key("tenants", MapOf(PART, r"[^\x00-\x1f]{1,128}"), "tenants and their shares", {}),
         Key("clients_wait", Duration(0, HOUR_US), "the longest Retry-After that clients obey; 0: they obey none",
             1_000_000),
         Key("default", Choice(("first-part", "refuse")), "what becomes of a request that no route takes", "first-part"),
@@ -101,10 +101,10 @@
 class Application:
     """One application's description as it was read, and where."""
 
-    def __init__(self, table: dict[str, Any], raw: dict[str, Any], spot: Spot) -> None:
+    def __init__(self, table: dict[str, Any], raw: dict[str, Any], location: Location) -> None:
         self.table = table
         self.raw = raw  # for what goes on as it was written
-        self.spot = spot
+        self.location = location
 
     @property
     def name(self) -> str:
@@ -112,17 +112,20 @@
 
 
 def read(path: str) -> tuple[list[Application], Report]:
-    """The applications that a file describes, with findings. Raises `Unreadable` where it can't be read at all."""
+    """The applications that a file describes, with findings.
+
+    Raises `UnreadableFileError` where it can't be read at all.
+    """
     report = Report(path)
-    text = read_text(read_bytes(path), Spot(report))
-    document = read_toml(text, report) if text is not None else None
+    text = decode_text(read_bytes(path), Location(report))
+    document = parse_toml(text, report) if text is not None else None
     if document is None:
         return [], report
-    spot = Spot(report)
+    location = Location(report)
     found = []
-    for raw, place in _rows(document, spot):
+    for raw, place in _rows(document, location):
         table = APPLICATION.read(raw, place)
-        if table is not BAD:
+        if table is not INVALID:
             found.append(Application(table, raw, place))
     _check_names(found)
     for application in found:
@@ -130,18 +133,21 @@
     return found, report
 
 
-def _rows(document: dict[str, Any], spot: Spot) -> list[tuple[dict[str, Any], Spot]]:
+def _rows(document: dict[str, Any], location: Location) -> list[tuple[dict[str, Any], Location]]:
     """Each application's own table: in a fleet's file what stands above the rows holds for all of them."""
     if APPLICATIONS not in document:
-        return [(document, spot)]
+        return [(document, location)]
     shared = {key: value for key, value in document.items() if key != APPLICATIONS}
     rows = document[APPLICATIONS]
-    if Rows(Table((), foreign=True, words="tables")).read(rows, Spot(Report(""))) is BAD or not rows:
-        (spot / APPLICATIONS).error(
+    if (
+        ListOf(Table((), allows_unknown=True, description="tables")).read(rows, Location(Report(""))) is INVALID
+        or not rows
+    ):
+        (location / APPLICATIONS).error(
             "value", "no list of tables", "Nothing is written", "Write [[application]] for each application"
         )
         return []
-    return [(_merged(shared, row), spot / APPLICATIONS / i) for i, row in enumerate(rows) if isinstance(row, dict)]
+    return [(_merged(shared, row), location / APPLICATIONS / i) for i, row in enumerate(rows) if isinstance(row, dict)]
 
 
 def _merged(shared: dict[str, Any], row: dict[str, Any]) -> dict[str, Any]:
@@ -158,7 +164,7 @@
     seen: set[str] = set()
     for application in applications:
         if application.name.casefold() in seen:
-            (application.spot / "name").error(
+            (application.location / "name").error(
                 "duplicate", f"{application.name!r} is there twice", "One would be written over", "Rename one"
             )
         seen.add(application.name.casefold())
@@ -166,25 +172,25 @@
 
 def _check(application: Application) -> None:
     """What the files made of it could not show any more; all else is found in them, by the checker."""
-    table, spot = application.table, application.spot
+    table, location = application.table, application.location
     tiers = table["tiers"] or ((table["tier"],) if table["tier"] else ("",))
     if table["tier"] and table["tier"] not in tiers:
-        (spot / "tier").error(
+        (location / "tier").error(
             "unknown-tier", f"{table['tier']!r} is none of the tiers", "Its place in the chain is not known",
             f"Write one of {', '.join(tiers)}",
         )  # fmt: skip
     if table["number"] >= table["sidecars"]:
-        (spot / "number").error(
+        (location / "number").error(
             "rank", f"number {table['number']} of {table['sidecars']}, counted from 0", "Two sidecars would be one",
             f"Write 0 to {table['sidecars'] - 1}",
         )  # fmt: skip
     if not table["discovery"] and not table["endpoints"]:
-        (spot / "discovery").error(
+        (location / "discovery").error(
             "missing", "neither discovery nor endpoints are named", "Nothing could be served",
             "Give discovery, or endpoints",
         )  # fmt: skip
     for name, row in table["classes"].items():
-        place = spot / "classes" / name
+        place = location / "classes" / name
         if row["repeat"] == "keyed" and not row["remembered"]:
             (place / "remembered").error(
                 "missing", "a keyed class needs it", "No repeat could ever be sent", "Say how long a key is remembered"
@@ -197,8 +203,8 @@
         elif row["remembered"] and row["remembered"] <= table["servers"]["connect"]:
             (place / "remembered").error(
                 "window",
-                f"{show_duration(row['remembered'])} is not more than the time to connect, "
-                f"{show_duration(table['servers']['connect'])}",
+                f"{format_duration(row['remembered'])} is not more than the time to connect, "
+                f"{format_duration(table['servers']['connect'])}",
                 "A repeat could always come too late and run a second time",
                 'Write repeat = "never"',
             )
--- a/eiderhub/config/explain.py
+++ b/eiderhub/config/explain.py
@@ -8,8 +8,8 @@
 from eiderhub.balancer import MAX_ATTEMPTS, MAX_ATTEMPTS_INNER, may_refuse, may_resend
 from eiderhub.interface import DedupScope, Effect, RequestClass, Settings
 from eiderhub.routing.plan import METHOD, Plan
-from eiderhub.routing.target import Asked, Refused, segments_of
-from eiderhub.schema.units import show_duration, show_size
+from eiderhub.routing.request_target import InvalidTargetError, RequestAttributes, segments_of
+from eiderhub.schema.units import format_duration, format_size
 from eiderhub.sidecar.config import Address, Config, needs_restart
 
 HERE, OTHER_CELL = ("z", 0), ("y", 1)  # two places, for asking the rules what holds for each
@@ -17,62 +17,66 @@
 
 class Explained(NamedTuple):
     route: str  # its name, or how the default took it
-    grade: RequestClass | None
+    request_class: RequestClass | None
     refusal: str  # why nothing takes it; "" where something does
 
 
-def explain(plan: Plan, asked: Asked, path: bytes) -> Explained:
+def explain(plan: Plan, request: RequestAttributes, path: bytes) -> Explained:
     """Which route takes a request, by the same look-up as in service."""
     try:
-        asked.segments = segments_of(path) if asked.protocol == "http" else (path[1:],)
-        grade = plan.grade(asked)
-        route = plan.table.find(asked) if plan.table else None
-    except Refused as refused:
+        request.segments = segments_of(path) if request.protocol == "http" else (path[1:],)
+        request_class = plan.class_of(request)
+        route = plan.table.find(request) if plan.table else None
+    except InvalidTargetError as refused:
         return Explained("", None, f"400: the target has {refused}")
-    if grade is None and asked.protocol != "http":
+    if request_class is None and request.protocol != "http":
         return Explained("", None, "exception 1: no route takes it, and its method names no class")
-    if grade is None:
+    if request_class is None:
         return Explained("", None, "404: no route takes it, and its first part names no class")
-    if asked.protocol == "http" and asked.method != METHOD[grade.effect]:
-        return Explained(route.name if route else "", grade, f"405: its class takes {METHOD[grade.effect]} alone")
-    default = "the first part of the path" if asked.protocol == "http" else "the method's name is its class"
-    return Explained(route.name if route else f"the default: {default}", grade, "")
+    if request.protocol == "http" and request.method != METHOD[request_class.effect]:
+        return Explained(
+            route.name if route else "", request_class, f"405: its class takes {METHOD[request_class.effect]} alone"
+        )
+    default = "the first part of the path" if request.protocol == "http" else "the method's name is its class"
+    return Explained(route.name if route else f"the default: {default}", request_class, "")
 
 
-def may_do(grade: RequestClass, settings: Settings) -> dict[str, str]:
+def may_do(request_class: RequestClass, settings: Settings) -> dict[str, str]:
     """What the sidecar may do once an attempt has ended, as the module's own rules say it."""
     tries = min(MAX_ATTEMPTS if settings.layer == 0 else MAX_ATTEMPTS_INNER, settings.limits.max_attempts)
-    tries = min(tries, grade.max_attempts or tries)
-    ran = _after(grade, True, tries)
+    tries = min(tries, request_class.max_attempts or tries)
+    ran = _after(request_class, True, tries)
     return {
         "after a reset or a time-out (it may have run)": ran,
         "after an error (it may have run)": ran,
-        "after being turned away or not connecting (it never ran)": _after(grade, False, tries),
+        "after being turned away or not connecting (it never ran)": _after(request_class, False, tries),
     }
 
 
-def _after(grade: RequestClass, ran: bool, tries: int) -> str:
+def _after(request_class: RequestClass, ran: bool, tries: int) -> str:
     first = (0, *HERE) if ran else None
-    window = grade.dedup_window_us
-    here = may_resend(grade.effect, grade.dedup_scope, window, first, 0, HERE)
-    elsewhere = may_resend(grade.effect, grade.dedup_scope, window, first, 0, OTHER_CELL)
-    for_good = may_resend(grade.effect, grade.dedup_scope, window, first, window + 1, HERE)
+    window = request_class.dedup_window_us
+    here = may_resend(request_class.effect, request_class.dedup_scope, window, first, 0, HERE)
+    elsewhere = may_resend(request_class.effect, request_class.dedup_scope, window, first, 0, OTHER_CELL)
+    for_good = may_resend(request_class.effect, request_class.dedup_scope, window, first, window + 1, HERE)
     answer = (
-        "refuse (503)" if may_refuse(grade.effect, grade.dedup_scope, ran) else "fail (502 or 504), promising nothing"
+        "refuse (503)"
+        if may_refuse(request_class.effect, request_class.dedup_scope, ran)
+        else "fail (502 or 504), promising nothing"
     )
     if not here or tries == 1:
         return f"never send it again; {answer}"
-    where = "to any endpoint" if elsewhere else f"within its {grade.dedup_scope.value} alone"
-    until = "" if for_good else f" for {show_duration(window)} after the first attempt"
+    where = "to any endpoint" if elsewhere else f"within its {request_class.dedup_scope.value} alone"
+    until = "" if for_good else f" for {format_duration(window)} after the first attempt"
     return f"send it again {where}{until}, {tries} attempts in all; then {answer}"
 
 
-def describe_pool(grade: RequestClass) -> str:
+def describe_pool(request_class: RequestClass) -> str:
     parts = []
     for words, names in (
-        ("zones", grade.allowed_zones),
-        ("kinds", grade.allowed_machine_kinds),
-        ("labels", grade.labels or None),
+        ("zones", request_class.allowed_zones),
+        ("kinds", request_class.allowed_machine_kinds),
+        ("labels", request_class.labels or None),
     ):
         if names is not None:
             parts.append(f"{words} {', '.join(sorted(names)) or 'none'}")
@@ -101,43 +105,43 @@
         Fact("the sidecar", "is named", config.name, True),
         Fact("the sidecar", "listens on", _address(config.listen), True),
         Fact("the sidecar", "asks for endpoints at", _address(config.discovery) or "nobody", False),
-        Fact("the sidecar", "holds for others at most", show_size(config.bounds.buffered_bytes), True),
+        Fact("the sidecar", "holds for others at most", format_size(config.bounds.buffered_bytes), True),
         Fact("the sidecar", "has connections of callers", str(config.bounds.caller_connections), True),
         Fact("the sidecar", "has connections to endpoints", str(config.bounds.endpoint_connections), True),
         Fact("a request that no route takes", "goes by", plan.default, False),
     ]
     if config.thrift is not None:
         found += _thrift_facts(config.thrift)
-    for grade in settings.classes:
-        found += _class_facts(grade, settings)
+    for request_class in settings.classes:
+        found += _class_facts(request_class, settings)
     for tenant in settings.tenants:
         found.append(Fact(f"tenant {tenant.name}", "has the share", f"{tenant.share:g}", True))
         found.append(Fact(f"tenant {tenant.name}", "has requests a second", f"{tenant.quota_per_s:g}", True))
-    for name, default in plan.first_part.items():
+    for name, default in plan.classes_by_first_segment.items():
         spelt = name.decode("utf-8")
         found.append(Fact(f"/{spelt}/...", "is of the class", default.variant_of or default.name, False))
         found += _narrowed(f"/{spelt}/...", default, settings)
     for route in plan.table.routes if plan.table else ():
-        grade = plan.grades[route.name]
+        request_class = plan.classes_by_route[route.name]
         subject = f"route {route.name}"
         asks = ", ".join(f"{' '.join(c)} = {v}" for c, v in sorted(route.conditions().items()))
         methods = "/".join(sorted(route.methods))
         found.append(Fact(subject, "takes", f"{methods or 'any method'} {route.pattern} {asks}".strip(), False))
-        found.append(Fact(subject, "gives the class", route.grade, False))
-        found += _narrowed(subject, grade, settings)
+        found.append(Fact(subject, "gives the class", route.class_name, False))
+        found += _narrowed(subject, request_class, settings)
     return found
 
 
 def _thrift_facts(options: Any) -> list[Fact]:
     encoding = options.encoding.name.lower() if options.encoding is not None else "the caller's"
-    time = show_duration(options.deadline_us) if options.deadline_us else "the class's"
+    time = format_duration(options.deadline_us) if options.deadline_us else "the class's"
     told = {
         "listens on": f"{options.host}:{options.port}",
         "speaks to endpoints in": f"what they state, else {encoding}" if options.stated else encoding,
-        "takes frames up to": show_size(options.most),
+        "takes frames up to": format_size(options.most),
         "answers": "in order" if options.in_order else "as ready",
         "has calls out on one connection": str(options.calls),
-        "lets callers be idle for": show_duration(options.idle_us),
+        "lets callers be idle for": format_duration(options.idle_us),
         "gives calls that tell none the tenant": options.tenant or "none: they are turned away",
         "gives calls that tell none the time": time,
         "takes for turned away unrun the exceptions": ", ".join(map(str, sorted(options.shedding))) or "none",
@@ -146,23 +150,23 @@
     return [Fact("the Thrift port", what, value, True) for what, value in told.items()]
 
 
-def _class_facts(grade: RequestClass, settings: Settings) -> list[Fact]:
-    subject = f"class {grade.name}"
+def _class_facts(request_class: RequestClass, settings: Settings) -> list[Fact]:
+    subject = f"class {request_class.name}"
     found = [
-        Fact(subject, "is wanted within", show_duration(grade.objective_us), True),
-        Fact(subject, "is given up after", show_duration(grade.deadline_us), True),
-        Fact(subject, "is worth", f"{grade.worth:g}, {grade.late_worth_share:g} of it when late", True),
+        Fact(subject, "is wanted within", format_duration(request_class.objective_us), True),
+        Fact(subject, "is given up after", format_duration(request_class.deadline_us), True),
+        Fact(subject, "is worth", f"{request_class.worth:g}, {request_class.late_worth_share:g} of it when late", True),
     ]
-    return found + [Fact(subject, what, value, True) for what, value in may_do(grade, settings).items()]
+    return found + [Fact(subject, what, value, True) for what, value in may_do(request_class, settings).items()]
 
 
-def _narrowed(subject: str, grade: RequestClass, settings: Settings) -> list[Fact]:
+def _narrowed(subject: str, request_class: RequestClass, settings: Settings) -> list[Fact]:
     """What a route or a class rule makes tighter than the class itself."""
-    found = [Fact(subject, "is served by", describe_pool(grade), False)]
-    if grade.variant_of:
-        found.append(Fact(subject, "is given up after", show_duration(grade.deadline_us), False))
-        found.append(Fact(subject, "may have second copies", str(grade.may_hedge).lower(), False))
-        found += [Fact(subject, what, value, False) for what, value in may_do(grade, settings).items()]
+    found = [Fact(subject, "is served by", describe_pool(request_class), False)]
+    if request_class.variant_of:
+        found.append(Fact(subject, "is given up after", format_duration(request_class.deadline_us), False))
+        found.append(Fact(subject, "may have second copies", str(request_class.may_hedge).lower(), False))
+        found += [Fact(subject, what, value, False) for what, value in may_do(request_class, settings).items()]
     return found
 
 
@@ -206,12 +210,12 @@
     return words[0], path, query
 
 
-def keyed_hint(grade: RequestClass) -> str:
-    if grade.effect is not Effect.DEDUPLICATED:
+def keyed_hint(request_class: RequestClass) -> str:
+    if request_class.effect is not Effect.DEDUPLICATED:
         return ""
     group = {
         DedupScope.ALL: "all endpoints",
         DedupScope.ZONE: "those of one zone",
         DedupScope.CELL: "those of one cell",
-    }[grade.dedup_scope]
-    return f"{group} drop a repeat of its key for {show_duration(grade.dedup_window_us)}"
+    }[request_class.dedup_scope]
+    return f"{group} drop a repeat of its key for {format_duration(request_class.dedup_window_us)}"
--- a/eiderhub/config/load.py
+++ b/eiderhub/config/load.py
@@ -12,10 +12,10 @@
 
 from eiderhub.config import sidecar_file
 from eiderhub.config.operator import owners_of, read_tables
-from eiderhub.routing.plan import Plan, plain
-from eiderhub.schema.files import Unreadable, read_bytes, read_json, read_text, read_toml
-from eiderhub.schema.findings import Finding, Report, Spot, sort
-from eiderhub.schema.pair import Pair
+from eiderhub.routing.plan import Plan, default_plan
+from eiderhub.schema.file_pair import FilePair
+from eiderhub.schema.files import UnreadableFileError, decode_text, parse_json, parse_toml, read_bytes
+from eiderhub.schema.findings import Finding, Location, Report, sort_findings
 from eiderhub.sidecar.config import Config, ConfigError, config_from
 
 OPERATOR_TABLES = ("routing", "classes", "pools", "routes")  # those that make a plan
@@ -25,17 +25,17 @@
 class Examined:
     """One sidecar's files as they were read, with all that was found."""
 
-    pair: Pair
+    pair: FilePair
     document: Any  # the sidecar's file as it was decoded
     config: Config | None  # None where there are errors, or no sidecar's file
 
     @property
     def findings(self) -> list[Finding]:
-        return sort([finding for report in self.pair.reports for finding in report.findings])
+        return sort_findings([finding for report in self.pair.reports for finding in report.findings])
 
     @property
     def errors(self) -> list[Finding]:
-        return sort([finding for report in self.pair.reports for finding in report.errors])
+        return sort_findings([finding for report in self.pair.reports for finding in report.errors])
 
 
 class Source(NamedTuple):
@@ -57,10 +57,10 @@
     own = Report(sidecar.name if sidecar else "")
     theirs = Report(operator.name if operator else "")
     raw = _decode_json(sidecar, own)
-    read = sidecar_file.DOCUMENT.read(raw, Spot(own)) if raw is not None else {}
+    read = sidecar_file.DOCUMENT.read(raw, Location(own)) if raw is not None else {}
     document: dict[str, Any] = read if isinstance(read, dict) else {}
     tables = _decode_toml(operator, theirs)
-    pair = Pair(document, Spot(own), read_tables(tables, Spot(theirs)), Spot(theirs))
+    pair = FilePair(document, Location(own), read_tables(tables, Location(theirs)), Location(theirs))
     if document:
         sidecar_file.check(document, pair.sidecar)
     for owner in owners_of(tables):
@@ -72,19 +72,19 @@
 
 
 def _decode_json(source: Source | None, report: Report) -> Any:
-    text = read_text(source.content, Spot(report)) if source else None
-    return None if text is None else read_json(text, report)
+    text = decode_text(source.content, Location(report)) if source else None
+    return None if text is None else parse_json(text, report)
 
 
 def _decode_toml(source: Source | None, report: Report) -> dict[str, Any]:
-    text = read_text(source.content, Spot(report)) if source else None
-    return (read_toml(text, report) if text is not None else None) or {}
+    text = decode_text(source.content, Location(report)) if source else None
+    return (parse_toml(text, report) if text is not None else None) or {}
 
 
 ANYWHERE = {"GW_LISTEN": "127.0.0.1:0", "GW_DISCOVERY": "127.0.0.1:1"}  # for files whose start tells these
 
 
-def _config(raw: Any, pair: Pair, environ: Mapping[str, str] | None) -> Config | None:
+def _config(raw: Any, pair: FilePair, environ: Mapping[str, str] | None) -> Config | None:
     """What a sidecar starts from; whatever its own reading still refuses is a finding like the others."""
     if environ is None:
         environ = {key: value for key, value in ANYWHERE.items() if key[3:].lower() not in raw}
@@ -102,15 +102,15 @@
         return None
 
 
-def make_plan(pair: Pair, config: Config) -> Plan:
+def make_plan(pair: FilePair, config: Config) -> Plan:
     if not any(name in pair.tables for name in OPERATOR_TABLES):
-        return plain(config.settings)
+        return default_plan(config.settings)
     from eiderhub.routing import options  # off where the file says nothing of it
 
     return options.make_plan(pair.tables, config.settings)
 
 
-def _thrift(pair: Pair) -> Any:
+def _thrift(pair: FilePair) -> Any:
     if "thrift" not in pair.tables:
         return None
     from eiderhub.protocols.thrift import options  # off where the file says nothing of it
@@ -118,7 +118,7 @@
     return options.listener(pair.tables)
 
 
-def _consul(pair: Pair) -> Any:
+def _consul(pair: FilePair) -> Any:
     if "consul" not in pair.tables:
         return None
     from eiderhub.membership.consul import options  # off where the file says nothing of it
@@ -126,7 +126,7 @@
     return options.read_options(pair.tables)
 
 
-def _fleet(raw: dict[str, Any], pair: Pair, name: str) -> Any:
+def _fleet(raw: dict[str, Any], pair: FilePair, name: str) -> Any:
     if "fleet" not in pair.tables:
         return None
     from eiderhub.fleet import options  # off where the file says nothing of it
@@ -141,7 +141,7 @@
         raise ConfigError("GW_CONFIG: missing")
     try:
         examined = examine(Source.of(path), Source.of(operator), environ)
-    except Unreadable as error:
+    except UnreadableFileError as error:
         raise ConfigError(str(error)) from None
     if examined.errors:
         raise ConfigError(str(examined.errors[0]))
--- a/eiderhub/config/operator.py
+++ b/eiderhub/config/operator.py
@@ -7,9 +7,9 @@
 from importlib import import_module
 from typing import Any, Protocol
 
-from eiderhub.schema.findings import Spot
-from eiderhub.schema.kinds import BAD, Kind, did_you_mean
-from eiderhub.schema.pair import Pair
+from eiderhub.schema.file_pair import FilePair
+from eiderhub.schema.findings import Location
+from eiderhub.schema.value_types import INVALID, ValueType, did_you_mean
 
 # Which module owns a table. It is imported only where the file names one of its tables, so that what is off costs
 # nothing; it brings `TABLES` (what may stand there) and `check(pair)` (what is well-formed and wrong).
@@ -26,9 +26,9 @@
 
 
 class Owner(Protocol):
-    TABLES: dict[str, Kind]
+    TABLES: dict[str, ValueType]
 
-    def check(self, pair: Pair) -> None: ...
+    def check(self, pair: FilePair) -> None: ...
 
 
 def owner(table: str) -> Owner:
@@ -36,27 +36,27 @@
     return module  # type: ignore[no-any-return]
 
 
-def read_tables(document: dict[str, Any], spot: Spot) -> dict[str, Any]:
+def read_tables(document: dict[str, Any], location: Location) -> dict[str, Any]:
     """The tables of a decoded file, each read by its owner; what can't be read is left out, with findings."""
     tables = {}
     for name, value in document.items():
         if name not in OWNERS:
-            (spot / name).error(
+            (location / name).error(
                 "unknown-key", "the table is not known", "What it says would not be done", did_you_mean(name, OWNERS)
             )
             continue
         try:
             kind = owner(name).TABLES[name]
         except ModuleNotFoundError as error:  # of an extra of the package: eiderhub[consul]
-            (spot / name).error(
+            (location / name).error(
                 "not-installed",
                 f"the table needs {error.name}, which is not installed",
                 "No sidecar starts from it",
                 f"Install eiderhub[{name}], or leave the table out",
             )
             continue
-        read = kind.read(value, spot / name)
-        if read is not BAD:
+        read = kind.read(value, location / name)
+        if read is not INVALID:
             tables[name] = read
     return tables
 
--- a/eiderhub/config/sidecar_file.py
+++ b/eiderhub/config/sidecar_file.py
@@ -10,24 +10,24 @@
 from typing import Any
 
 from eiderhub.interface import DedupScope, Discovery, Effect
-from eiderhub.routing.target import Refused, segments_of
-from eiderhub.schema.declared import STRICTNESS, declared, fold
-from eiderhub.schema.findings import Spot
-from eiderhub.schema.kinds import (
+from eiderhub.routing.request_target import InvalidTargetError, segments_of
+from eiderhub.schema.declared_classes import STRICTNESS, declared_classes, fold_name
+from eiderhub.schema.findings import Location
+from eiderhub.schema.units import format_duration
+from eiderhub.schema.value_types import (
     HOUR_US,
     Choice,
     Flag,
     Int,
     Key,
-    Kind,
-    Named,
+    ListOf,
+    MapOf,
     Number,
-    Rows,
     Table,
     Text,
-    wrong,
+    ValueType,
+    report_invalid,
 )
-from eiderhub.schema.units import show_duration
 from eiderhub.sidecar.resource_limits import ANSWER_MARGIN_US, BASE_MEMORY_MB, MIN_SOCKETS, RESERVED_SOCKETS
 
 LITTLE_MB = 32  # from here on bodies of 64 KiB have room beside the process itself
@@ -42,23 +42,23 @@
 class Address:
     """IP:port. The platform resolves no names."""
 
-    words = 'an address such as "127.0.0.1:7070"'
+    description = 'an address such as "127.0.0.1:7070"'
 
-    def read(self, value: object, spot: Spot) -> Any:
+    def read(self, value: object, location: Location) -> Any:
         match = re.fullmatch(r"(\d{1,3}(?:\.\d{1,3}){3}|localhost|\[[0-9a-f:]+\]):(\d{1,5})", str(value))
         if not isinstance(value, str) or match is None or not 0 <= int(match[2]) <= 65535:
-            return wrong(spot, value, self.words, "address")
+            return report_invalid(location, value, self.description, "address")
         if match[1][0].isdigit() and any(int(part) > 255 for part in match[1].split(".")):
-            return wrong(spot, value, self.words, "address")
+            return report_invalid(location, value, self.description, "address")
         return value
 
 
 class Anything:
     """What the platform states and the sidecar does not use."""
 
-    words = "anything"
+    description = "anything"
 
-    def read(self, value: object, spot: Spot) -> Any:
+    def read(self, value: object, location: Location) -> Any:
         return value
 
 
@@ -66,11 +66,11 @@
     return Choice(tuple(member.value for member in enum))
 
 
-def _optional(name: str, kind: Kind, help: str, default: Any = None) -> Key:
+def _optional(name: str, kind: ValueType, help: str, default: Any = None) -> Key:
     return Key(name, kind, help, default)
 
 
-ZONES = Rows(Text(words="a zone's name"), 1000)
+ZONES = ListOf(Text(description="a zone's name"), 1000)
 CATEGORY = Table(
     (
         Key("Name", Text(r".{1,128}", "a name"), "the class's name, the first part of the path"),
@@ -83,10 +83,10 @@
         _optional("LateShare", PART, "share of the worth that a late answer earns", 0.0),
         _optional("Streaming", Flag(), "the answer streams", False),
         _optional("StaysIn", ZONES, "the only zones it may go to"),
-        _optional("ServedOn", Rows(Text(words="a kind's name"), 1000), "the only kinds of machine"),
+        _optional("ServedOn", ListOf(Text(description="a kind's name"), 1000), "the only kinds of machine"),
         _optional("AimStretch", WEIGHT, "the aim grows with the request's work"),
     ),
-    foreign=True,
+    allows_unknown=True,
 )
 PARTY = Table(
     (
@@ -94,7 +94,7 @@
         _optional("Share", PART, "its fraction of the service", 0.0),
         _optional("QuotaPerS", Number(0, 1e9, "requests a second"), "requests a second, at all sidecars", 0.0),
     ),
-    foreign=True,
+    allows_unknown=True,
 )
 ALLOWED = Table(
     (
@@ -109,7 +109,7 @@
             "CpuUsPerRequest", "CpuUsPerS", "MaxOpen", "Multiplex", "Peers", "Probing",
         )),
     ),
-    foreign=True,
+    allows_unknown=True,
 )  # fmt: skip
 RULES = Table(
     (
@@ -120,19 +120,19 @@
         _optional("AskEveryUs", PAUSE, "how long a copy with no watch may go by its list", 10_000_000),
         *(_optional(name, Anything(), "stated by the platform") for name in ("AnswerSlackUs", "FallUs")),
     ),
-    foreign=True,
+    allows_unknown=True,
 )  # fmt: skip
 GOAL = Table(
     tuple(
         _optional(name, WEIGHT, "a weight", 0.0)
         for name in ("Whole", "WorstWindow", "WorstTenant", "Availability", "WorstClass", "Tail")
     ),
-    foreign=True,
+    allows_unknown=True,
 )
 SETTINGS = Table(
     (
-        Key("Categories", Rows(CATEGORY, 256), "the classes of requests"),
-        _optional("Parties", Rows(PARTY, 1000), "the tenants", []),
+        Key("Categories", ListOf(CATEGORY, 256), "the classes of requests"),
+        _optional("Parties", ListOf(PARTY, 1000), "the tenants", []),
         _optional("Allowed", ALLOWED, "what the site permits", {}),
         _optional("Rules", RULES, "figures of the rules", {}),
         _optional("Goal", GOAL, "what is counted", {}),
@@ -140,21 +140,21 @@
             _optional(name, Anything(), "stated by the platform") for name in (
                 "Connection", "Discovery", "Fleet", "Handshake", "LateFail", "Moves", "Origin", "Peer", "Probe",
                 "Waste",
-            ))), foreign=True), "prices", {}),
+            ))), allows_unknown=True), "prices", {}),
         _optional("Rank", Int(0, 1_000_000), "this sidecar's number", 0),
         _optional("Balancers", Int(1, 1_000_000), "sidecars in this tier", 1),
         _optional("Layer", Int(0, 100), "the tier this sidecar sends into", 0),
-        _optional("Tiers", Rows(ANY_TEXT, 100), "the tiers' names", [""]),
+        _optional("Tiers", ListOf(ANY_TEXT, 100), "the tiers' names", [""]),
         _optional("MyZone", ANY_TEXT, "this sidecar's zone", ""),
         _optional("Localities", ZONES, "the zones' names"),
-        _optional("Kinds", Rows(Text(words="a kind's name"), 1000), "the kinds of machine"),
+        _optional("Kinds", ListOf(Text(description="a kind's name"), 1000), "the kinds of machine"),
         _optional("OverShareWorth", Number(0, 1000), "worth of a request over its tenant's share", 1.0),
         _optional("Discovery", _choice(Discovery), "whether lists are pushed or asked for", "push"),
         *(_optional(name, Anything(), "stated by the platform") for name in (
             "Clients", "Family", "FamilyInfo", "Report", "StepUs", "Weights", "WorthBy",
         )),
     ),
-    foreign=True,
+    allows_unknown=True,
 )  # fmt: skip
 INSTANCE = Table(
     (
@@ -166,9 +166,9 @@
         _optional("cell", Int(-1, 1 << 31), "its cell"),
         _optional("weight", Number(0, 1e6), "its size", 1.0),
         _optional("startedAtMs", Int(0, 1 << 53), "when it started", 0),
-        _optional("metadata", Named(Text(), ".{1,128}"), "further facts, for pools", {}),
+        _optional("metadata", MapOf(Text(), ".{1,128}"), "further facts, for pools", {}),
     ),
-    foreign=True,
+    allows_unknown=True,
 )
 DOCUMENT = Table(
     (
@@ -184,7 +184,7 @@
                     _optional("memory_mb", Number(1, 1 << 24), "memory", 192.0),
                     _optional("sockets", Int(1, 1 << 24), "descriptors", 1024),
                 ),
-                foreign=True,
+                allows_unknown=True,
             ),
             "the machine",
             {},
@@ -195,9 +195,9 @@
                 (
                     Key("generation", Int(0, 1 << 62), "the list's version"),
                     Key("reset", Flag(), "whether the list is whole"),
-                    Key("instances", Rows(INSTANCE, 20_000), "endpoints"),
+                    Key("instances", ListOf(INSTANCE, 20_000), "endpoints"),
                 ),
-                foreign=True,
+                allows_unknown=True,
             ),
             "the list of endpoints as last known",
         ),
@@ -207,43 +207,45 @@
         _optional("peers_all", Anything(), "stated by the platform"),
         _optional("notes", Anything(), "why values are as they are; the sidecar does not read it"),
     ),
-    foreign=True,
+    allows_unknown=True,
 )
 
 
-def check(document: dict[str, Any], root: Spot) -> None:
+def check(document: dict[str, Any], root: Location) -> None:
     """What is well-formed and wrong in one sidecar's file. `document` is what `DOCUMENT` read."""
     settings = document.get("settings", {})
-    spot = root / "settings"
-    _classes(settings, spot / "Categories")
-    _tenants(settings, spot / "Parties")
-    _place(settings, spot)
+    location = root / "settings"
+    _classes(settings, location / "Categories")
+    _tenants(settings, location / "Parties")
+    _place(settings, location)
     _machine(document, root)
     _addresses(document, root)
     _endpoints(document, root / "known" / "instances")
 
 
-def _classes(settings: dict[str, Any], spot: Spot) -> None:
+def _classes(settings: dict[str, Any], location: Location) -> None:
     rows = settings.get("Categories", [])
     if "Categories" in settings and not rows:
-        spot.error("no-classes", "there is no class", "No sidecar starts from it", "Name at least one class")
+        location.error("no-classes", "there is no class", "No sidecar starts from it", "Name at least one class")
     seen: dict[str, tuple[int, dict[str, Any]]] = {}
     for i, row in enumerate(rows):
-        own = spot / i
+        own = location / i
         name = row.get("Name", "")
         _times(row, own, settings.get("Allowed", {}))
         _effect(name, row, own)
         _class_name(name, own / "Name")
-        other = seen.setdefault(fold(name), (i, row))
+        other = seen.setdefault(fold_name(name), (i, row))
         if name and other[1] is not row:
             _same_name(name, row, other[1], own / "Name")
 
 
-def _same_name(name: str, row: dict[str, Any], other: dict[str, Any], spot: Spot) -> None:
+def _same_name(name: str, row: dict[str, Any], other: dict[str, Any], location: Location) -> None:
     if other["Name"] == name:
-        spot.error("duplicate", f"the class {name!r} is there twice", "No sidecar starts from it", "Keep one of them")
+        location.error(
+            "duplicate", f"the class {name!r} is there twice", "No sidecar starts from it", "Keep one of them"
+        )
     elif other.get("Effect") != row.get("Effect"):
-        spot.error(
+        location.error(
             "disguise",
             f"{name!r} differs from {other['Name']!r} in spelling alone, and a repeat of it would do something else",
             "A request that must not be repeated could be sent under the name that may",
@@ -251,75 +253,76 @@
         )
 
 
-def _times(row: dict[str, Any], spot: Spot, allowed: dict[str, Any]) -> None:
+def _times(row: dict[str, Any], location: Location, allowed: dict[str, Any]) -> None:
     aim, deadline = row.get("AimUs"), row.get("DeadlineUs")
     if deadline is None:
         return
     if aim is not None and aim > deadline:
-        (spot / "AimUs").error(
+        (location / "AimUs").error(
             "aim-after-deadline",
-            f"wanted within {show_duration(aim)}, given up after {show_duration(deadline)}",
+            f"wanted within {format_duration(aim)}, given up after {format_duration(deadline)}",
             "Every answer that counts would come after the client has gone",
             "Let the wanted time be the shorter one",
         )
     if deadline <= ANSWER_MARGIN_US:
-        (spot / "DeadlineUs").error(
+        (location / "DeadlineUs").error(
             "deadline-too-short",
-            f"given up after {show_duration(deadline)}, and answers leave {show_duration(ANSWER_MARGIN_US)} ahead",
+            f"given up after {format_duration(deadline)}, and answers leave {format_duration(ANSWER_MARGIN_US)} ahead",
             "Every request would be answered 504 at once",
             "Give it more time",
         )
     least = allowed.get("MaxAttempts", 3) * allowed.get("ConnectTimeoutUs", 250_000)
     if least > deadline:
-        (spot / "DeadlineUs").error(
+        (location / "DeadlineUs").error(
             "attempts-do-not-fit",
-            f"{allowed.get('MaxAttempts', 3)} attempts that fail to connect take {show_duration(least)}, "
-            f"longer than {show_duration(deadline)}",
+            f"{allowed.get('MaxAttempts', 3)} attempts that fail to connect take {format_duration(least)}, "
+            f"longer than {format_duration(deadline)}",
             "The last attempts would never be made",
             "Lower Allowed.MaxAttempts or Allowed.ConnectTimeoutUs",
         )
 
 
-def _effect(name: str, row: dict[str, Any], spot: Spot) -> None:
+def _effect(name: str, row: dict[str, Any], location: Location) -> None:
     effect, window = row.get("Effect"), row.get("DedupWindowUs", 0)
     if effect is None:
         return
     if effect == Effect.DEDUPLICATED.value and not window:
-        (spot / "DedupWindowUs").error(
+        (location / "DedupWindowUs").error(
             "no-window",
             "keyed, but no endpoint remembers a key for any time",
             "No sidecar starts from it, or no repeat would ever be sent",
             "Say for how long repeats are dropped, or make the class at_most_once",
         )
-    known = declared().get(fold(name))
+    known = declared_classes().get(fold_name(name))
     if known is None:
         return
     if STRICTNESS[effect] < STRICTNESS[known.effect.value]:
-        (spot / "Effect").error(
+        (location / "Effect").error(
             "effect-declared",
             f"{name!r} is declared {known.effect.value}, and is {effect} here",
             "A request that may have run would be sent again",
             f'Write "{known.effect.value}"',
         )
     elif effect == Effect.DEDUPLICATED.value and known.window_us and window > known.window_us:
-        (spot / "DedupWindowUs").error(
+        (location / "DedupWindowUs").error(
             "window",
-            f"a key is resent for {show_duration(window)}, and endpoints drop it for {show_duration(known.window_us)}",
+            f"a key is resent for {format_duration(window)}, and endpoints drop it for "
+            f"{format_duration(known.window_us)}",
             "A repeat after that would run a second time",
             f"Write {known.window_us} or less",
         )
 
 
-def _class_name(name: str, spot: Spot) -> None:
+def _class_name(name: str, location: Location) -> None:
     if name == "up":
-        spot.error("class-name", "/up tells whether the sidecar is ready", "The class gets no request", "Rename it")
+        location.error("class-name", "/up tells whether the sidecar is ready", "The class gets no request", "Rename it")
         return
     try:
         plain = not name or segments_of(b"/" + name.encode("utf-8")) == (name.encode("utf-8"),)
-    except Refused:
+    except InvalidTargetError:
         plain = False
     if not plain:
-        spot.warn(
+        location.warn(
             "class-name",
             f"{name!r} can't be the first part of a path",
             "Without a route that names it, the class gets no request",
@@ -327,18 +330,18 @@
         )
 
 
-def _tenants(settings: dict[str, Any], spot: Spot) -> None:
+def _tenants(settings: dict[str, Any], location: Location) -> None:
     rows = settings.get("Parties") or []
     seen: set[str] = set()
     for i, row in enumerate(rows):
         name = row.get("Name", "")
         if name in seen:
-            (spot / i / "Name").error(
+            (location / i / "Name").error(
                 "duplicate", f"the tenant {name!r} is there twice", "No sidecar starts from it", "Keep one of them"
             )
         seen.add(name)
         if name and not re.fullmatch(r"[\x21-\x7e](?:[\x20-\x7e]*[\x21-\x7e])?", name):
-            (spot / i / "Name").error(
+            (location / i / "Name").error(
                 "tenant-name",
                 f"{name!r} can't be the value of a header",
                 "No request could name the tenant",
@@ -346,7 +349,7 @@
             )
     total = math.fsum(row.get("Share", 0.0) for row in rows)
     if total > SHARES_MOST:
-        spot.error(
+        location.error(
             "shares",
             f"the shares add up to {total:.3f}",
             "Each tenant would get less than is written",
@@ -354,15 +357,15 @@
         )
 
 
-def _place(settings: dict[str, Any], spot: Spot) -> None:
+def _place(settings: dict[str, Any], location: Location) -> None:
     tiers, layer = settings.get("Tiers") or [""], settings.get("Layer", 0)
     if layer >= len(tiers):
-        (spot / "Layer").error(
+        (location / "Layer").error(
             "layer", f"tier {layer} of {len(tiers)}", "No sidecar starts from it", f"Write 0 to {len(tiers) - 1}"
         )
     rank, count = settings.get("Rank", 0), settings.get("Balancers", 1)
     if rank >= count:
-        (spot / "Rank").warn(
+        (location / "Rank").warn(
             "rank",
             f"sidecar {rank} of {count}, counted from 0",
             "It shares its subset of endpoints with another one",
@@ -370,33 +373,33 @@
         )
     zones = settings.get("Localities")
     if zones and settings.get("MyZone") and settings["MyZone"] not in zones:
-        (spot / "MyZone").warn(
+        (location / "MyZone").warn(
             "zone", f"{settings['MyZone']!r} is none of the zones", "All endpoints count as far", "Name its zone"
         )
     credits = [row.get("Credit", 1.0) for row in settings.get("Categories", [])]
     if credits and not any(credits):
-        (spot / "Categories").warn(
+        (location / "Categories").warn(
             "worth", "no class is worth anything", "None comes before another", "Give Credit to what matters"
         )
 
 
-def _machine(document: dict[str, Any], root: Spot) -> None:
+def _machine(document: dict[str, Any], root: Location) -> None:
     limits = document.get("limits") or {}
     memory, sockets = limits.get("memory_mb", 192.0), limits.get("sockets", 1024)
-    spot = root / "limits"
+    location = root / "limits"
     if memory < BASE_MEMORY_MB:
-        (spot / "memory_mb").error(
+        (location / "memory_mb").error(
             "memory",
             f"{memory:g} MB; the process alone takes {BASE_MEMORY_MB} MB with its connections",
             "It would be killed before long",
             f"Give it {LITTLE_MB} MB or more",
         )
     elif memory < LITTLE_MB:
-        (spot / "memory_mb").warn(
+        (location / "memory_mb").warn(
             "memory", f"{memory:g} MB", "Bodies are turned away with 503 early", f"Give it {LITTLE_MB} MB or more"
         )
     if sockets < MIN_SOCKETS:
-        (spot / "sockets").error(
+        (location / "sockets").error(
             "descriptors",
             f"{sockets} descriptors, {RESERVED_SOCKETS} of them for the process itself",
             "Callers and endpoints would be cut off in any burst",
@@ -404,7 +407,7 @@
         )
 
 
-def _addresses(document: dict[str, Any], root: Spot) -> None:
+def _addresses(document: dict[str, Any], root: Location) -> None:
     listen = document.get("listen")
     if "discovery" in document and not document["discovery"] and not (document.get("known") or {}).get("instances"):
         (root / "discovery").warn(
@@ -424,17 +427,17 @@
             )
 
 
-def _endpoints(document: dict[str, Any], spot: Spot) -> None:
+def _endpoints(document: dict[str, Any], location: Location) -> None:
     ids: set[str] = set()
     places: set[str] = set()
     for i, row in enumerate((document.get("known") or {}).get("instances", [])):
         name, place = row.get("instanceId"), row.get("hostPort")
         if name in ids:
-            (spot / i / "instanceId").error(
+            (location / i / "instanceId").error(
                 "duplicate", f"the id {name!r} is there twice", "The later entry would stand for both", "Keep one"
             )
         elif place in places:
-            (spot / i / "hostPort").warn(
+            (location / i / "hostPort").warn(
                 "address", f"{place} is there under two ids", "It gets twice its part", "Keep one of them"
             )
         ids.add(str(name))
--- a/eiderhub/config/write.py
+++ b/eiderhub/config/write.py
@@ -19,10 +19,10 @@
 from eiderhub.config.across import across
 from eiderhub.config.describe import Application
 from eiderhub.config.load import Examined, Source, examine
-from eiderhub.routing.options import EFFECTS
-from eiderhub.schema.findings import Finding, Path, Report, Severity, Spot, sort
-from eiderhub.schema.toml import toml_key, toml_table, toml_value
-from eiderhub.schema.units import show_duration
+from eiderhub.routing.options import EFFECT_BY_REPEAT
+from eiderhub.schema.findings import Finding, KeyPath, Location, Report, Severity, sort_findings
+from eiderhub.schema.toml_writer import toml_key, toml_table, toml_value
+from eiderhub.schema.units import format_duration
 
 SIDECAR, OPERATOR = "sidecar.json", "operator.toml"
 MAX_TRIES, MAX_TRIES_INSIDE = 3, 2  # what the decision module makes of any larger figure, by tier
@@ -41,10 +41,10 @@
 
 
 def outcome(path: str) -> Outcome:
-    """Everything that a description gives. Raises `files.Unreadable` where it can't be read at all."""
+    """Everything that a description gives. Raises `files.UnreadableFileError` where it can't be read at all."""
     applications, report = describe.read(path)
     if report.errors:
-        return Outcome(sort(report.findings))
+        return Outcome(sort_findings(report.findings))
     files: dict[str, bytes] = {}
     examined = []
     for application in applications:
@@ -55,7 +55,7 @@
     across(examined)
     for application, one in zip(applications, examined, strict=True):
         _tell_back(application, one, report)
-    found = Outcome(sort(report.findings), files)
+    found = Outcome(sort_findings(report.findings), files)
     if not found.sound:
         found.files = {}
     return found
@@ -64,11 +64,11 @@
 def _tell_back(application: Application, examined: Examined, report: Report) -> None:
     """Findings of the written files, at the place of the description that they come from."""
     for finding in examined.findings:
-        place = Spot(report, (*application.spot.path, *_origin(application, finding.key)))
+        place = Location(report, (*application.location.path, *_origin(application, finding.key)))
         report.add(finding.severity, place.path, finding.code, finding.what, finding.follows, finding.do)
 
 
-def _origin(application: Application, key: str) -> Path:
+def _origin(application: Application, key: str) -> KeyPath:
     names = list(application.table["classes"])
     if match := re.match(r"settings\.Categories\[(\d+)\](?:\.(\w+))?", key):
         own = {"AimUs": "wanted", "DeadlineUs": "give_up", "Effect": "repeat", "DedupWindowUs": "remembered"}
@@ -91,7 +91,7 @@
 def write(path: str, folder: str) -> Outcome:
     """Write the files of a description below `folder`; nothing is written where there are errors.
 
-    Raises `files.Unreadable` and OSError. Each file is replaced whole: a reader sees the old one or the new one.
+    Raises `UnreadableFileError` and OSError. Each file is replaced whole: a reader sees the old one or the new one.
     """
     found = outcome(path)
     for name, content in found.files.items():
@@ -181,7 +181,7 @@
         "Name": name,
         "AimUs": row["wanted"],
         "DeadlineUs": row["give_up"],
-        "Effect": EFFECTS[row["repeat"]].value,
+        "Effect": EFFECT_BY_REPEAT[row["repeat"]].value,
         "Credit": row["worth"],
         "LateShare": row["late"],
     }
@@ -199,7 +199,7 @@
 
 
 def _notes(table: dict[str, Any], layer: int, tries: int, harmless: list[str]) -> dict[str, str]:
-    connect = show_duration(table["servers"]["connect"])
+    connect = format_duration(table["servers"]["connect"])
     notes = {
         "seed": "from the name, so that the same description gives the same file; sidecars of one tier should differ",
         "settings.Allowed.MaxAttempts": f"{tries}: as many as fit into the shortest give-up time if each takes "
@@ -216,7 +216,7 @@
     for name, row in table["classes"].items():
         if row["repeat"] == "keyed":
             notes[f"settings.Categories {name}"] = (
-                f"DedupWindowUs is {show_duration(row['remembered'])} less {connect}: "
+                f"DedupWindowUs is {format_duration(row['remembered'])} less {connect}: "
                 "a resend may have to connect first"
             )
         elif row["repeat"] == "never":
@@ -255,7 +255,7 @@
         yield "# Said once more, so that a change of the sidecar's file alone is found."
         yield f"repeat = {toml_value(row['repeat'])}"
         if row["remembered"]:
-            yield f"remembered = {toml_value(show_duration(row['remembered']))}"
+            yield f"remembered = {toml_value(format_duration(row['remembered']))}"
         if row["aliases"]:
             yield f"aliases = {toml_value(list(row['aliases']))}"
     yield ""
--- a/eiderhub/fleet/options.py
+++ b/eiderhub/fleet/options.py
@@ -11,19 +11,30 @@
 from eiderhub.fleet.member_table import Address
 from eiderhub.fleet.messages import MAX_NAME_BYTES, digest
 from eiderhub.fleet.protocol import ProtocolConfig
-from eiderhub.schema.kinds import Duration, Flag, Int, Key, Kind, Number, Several, SocketAddress, Table, Text
-from eiderhub.schema.pair import Pair
+from eiderhub.schema.file_pair import FilePair
+from eiderhub.schema.value_types import (
+    Duration,
+    Flag,
+    Int,
+    Key,
+    Number,
+    OneOrMore,
+    SocketAddress,
+    Table,
+    Text,
+    ValueType,
+)
 
 VIEW_FORMAT = b"1"  # part of the build: programs with different formats count as different builds
 MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 64
 PER_MEMBER_SETTINGS = ("Rank", "MyZone")  # settings that differ between the sidecars of a fleet
-TABLES: dict[str, Kind] = {
+TABLES: dict[str, ValueType] = {
     "fleet": Table(
         (
             Key("period", Duration(20_000, 10_000_000), "in each period a member pings one other member", 500_000),
             Key("listen", SocketAddress(), "where it receives datagrams, in place of the platform's peer_listen", None),
             Key("address", SocketAddress(1), "where the others reach it, in place of its own row in peers", None),
-            Key("contacts", Several(SocketAddress(1), 1024), "the others' addresses, in place of the platform's", ()),
+            Key("contacts", OneOrMore(SocketAddress(1), 1024), "the others' addresses, in place of the platform's", ()),
             Key("introduced", Flag(), "whether members that are not listed as contacts may join; needs a key", False),
             Key("roster", Int(0, 4096), "the expected number of members; 0: as many as contacts", 0),
             Key("key-file", Text(), "file with the key that all members share: it authenticates each datagram", None),
@@ -49,21 +60,21 @@
     build: bytes = field(compare=False)  # digest of the configuration in force: may change without a restart
 
 
-def check(pair: Pair) -> None:
+def check(pair: FilePair) -> None:
     """Report everything that would make a start fail."""
     row = pair.tables.get("fleet")
     if row is None:
         return
-    spot = pair.operator / "fleet"
+    location = pair.operator / "fleet"
     if pair.document and pair.settings.get("Allowed", {}).get("Peers") is not True:
-        spot.error(
+        location.error(
             "peers-not-allowed",
             "the settings do not allow messages between sidecars (Allowed.Peers)",
             "The platform would drop the datagrams, or void the run",
             "Remove the table, or have Peers allowed",
         )
     if row["introduced"] and not row["key-file"]:
-        spot.error(
+        location.error(
             "key",
             "introduced = true without key-file",
             "Anyone who can send a datagram could join the fleet",
@@ -73,14 +84,14 @@
         if row["key-file"]:
             read_key(row["key-file"])
     except ValueError as error:
-        (spot / "key-file").error(
+        (location / "key-file").error(
             "key", str(error), "The sidecar would not start", "Write 16 to 64 random bytes to the file"
         )
     if pair.document:
         _check_addresses(pair, row)
 
 
-def _check_addresses(pair: Pair, row: dict[str, Any]) -> None:
+def _check_addresses(pair: FilePair, row: dict[str, Any]) -> None:
     try:
         parse_addresses(pair.document, row)
     except ValueError as error:
--- a/eiderhub/membership/consul/options.py
+++ b/eiderhub/membership/consul/options.py
@@ -7,29 +7,29 @@
 from eiderhub.interface import Readiness
 from eiderhub.membership.consul.health import FieldMapping
 from eiderhub.membership.consul.query import CONSISTENCY_MODES, Options
-from eiderhub.schema.kinds import (
+from eiderhub.schema.file_pair import FilePair
+from eiderhub.schema.value_types import (
     HOUR_US,
     REQUIRED,
     Choice,
     Duration,
     Key,
-    Kind,
-    Several,
+    OneOrMore,
     Size,
     SocketAddress,
     Table,
     Text,
+    ValueType,
 )
-from eiderhub.schema.pair import Pair
 
 META_KEY = Text(r"[A-Za-z0-9_-]{1,128}", "a key of Meta")
 NAME = Text(r"[^\x00-\x20/?#]{1,128}", "a name without spaces, '/', '?' or '#'")
 SCOPE_PARAMETERS = {"datacenter": "dc", "namespace": "ns", "partition": "partition", "filter": "filter"}
-TABLES: dict[str, Kind] = {
+TABLES: dict[str, ValueType] = {
     "consul": Table(
         (
-            Key("agents", Several(SocketAddress(1), 16), "agents; one is polled, the next after a failure", REQUIRED),
-            Key("services", Several(NAME), "services whose instances are endpoints; each gets the label `service`",
+            Key("agents", OneOrMore(SocketAddress(1), 16), "agents; one is polled, the next after a failure", REQUIRED),
+            Key("services", OneOrMore(NAME), "services whose instances are endpoints; each gets the label `service`",
                 REQUIRED),
             Key("api", Choice(("health", "catalogue")), "which API is polled; the catalogue has no checks", "health"),
             Key("mode", Choice(CONSISTENCY_MODES), "consistency mode of requests", "default"),
@@ -44,7 +44,7 @@
             Key("namespace", NAME, "of the services", None),
             Key("partition", NAME, "of the services", None),
             Key("filter", Text(r"(?s).{1,1024}", "a filter expression"), "excluded instances are removed", None),
-            Key("tags", Several(NAME), "tags that instances must have", ()),
+            Key("tags", OneOrMore(NAME), "tags that instances must have", ()),
             Key("warning", Choice(("ready", "draining")), "state of an instance with a warning check", "ready"),
             Key("zone", META_KEY, "the key of Meta with an instance's zone", "zone"),
             Key("kind", META_KEY, "the key of Meta with its kind of machine", "kind"),
@@ -76,14 +76,14 @@
     )
 
 
-def check(pair: Pair) -> None:
+def check(pair: FilePair) -> None:
     """Add findings for what is well-formed but wrong."""
     row = pair.tables.get("consul")
     if row is None:
         return
-    spot = pair.operator / "consul"
+    location = pair.operator / "consul"
     for key in ("agents", "services"):
         if len(set(row[key])) < len(row[key]):
-            (spot / key).error(
+            (location / key).error(
                 "twice", f"one of the {key} is listed twice", "It would be polled twice", "Remove one of them"
             )
--- a/eiderhub/protocols/http1/server.py
+++ b/eiderhub/protocols/http1/server.py
@@ -10,7 +10,7 @@
 
 from eiderhub.interface import Effect, RequestClass
 from eiderhub.protocols.http1.client import HOP_BY_HOP, Exchange, Response
-from eiderhub.routing.target import Asked, Refused, segments_of
+from eiderhub.routing.request_target import InvalidTargetError, RequestAttributes, segments_of
 from eiderhub.sidecar.callers import BaseCallerConnection, Callers
 from eiderhub.sidecar.clock import now_us
 from eiderhub.sidecar.host import Host, Request
@@ -327,11 +327,11 @@
         tenant = self.tenants.get(fields.get(b"req-owner", b""))
         try:
             if plan.table is None:
-                grade = plan.grade_at(path)
+                grade = plan.class_at_path(path)
             else:
                 method = incoming.method.decode("latin-1")
-                grade = plan.grade(Asked("http", method, segments_of(path), fields, query, tenant))
-        except Refused as refused:
+                grade = plan.class_of(RequestAttributes("http", method, segments_of(path), fields, query, tenant))
+        except InvalidTargetError as refused:
             # Danger: what a server could read as another path than we do would pass a route unseen.
             raise Rejected(400, f"the target has {refused}") from None
         if grade is None:
@@ -366,7 +366,7 @@
         hint_us = _number(fields, b"req-cost", 1 << 50)
         wait_us = deadline_ms * 1000
         # A route may be tighter than the client; a class's own time never cuts a client's.
-        wait_us = min(wait_us, self.host.plan.tighter_us.get(grade.name, wait_us))
+        wait_us = min(wait_us, self.host.plan.deadline_limits_us.get(grade.name, wait_us))
         open_ids = self.callers.open_request_ids
         if request_id in open_ids:
             # Two answers would be owed under one id, and endpoints could not tell its attempts apart.
--- a/eiderhub/protocols/thrift/options.py
+++ b/eiderhub/protocols/thrift/options.py
@@ -10,30 +10,29 @@
 from eiderhub.protocols.thrift import paths
 from eiderhub.protocols.thrift.plan import COST, DEADLINE, KEY, REQUEST_ID, TENANT, Options
 from eiderhub.protocols.thrift.wire import MAX_FRAME, MAX_NAME, Encoding
-from eiderhub.routing.options import EFFECTS, WORDS, route_of
+from eiderhub.routing.options import EFFECT_BY_REPEAT, REPEAT_BY_EFFECT, route_of
 from eiderhub.routing.plan import FIRST_PART
-from eiderhub.routing.table import Table as Compiled
-from eiderhub.routing.table import TableError
-from eiderhub.routing.target import Asked
-from eiderhub.schema.declared import STRICTNESS, declared, fold
-from eiderhub.schema.findings import Spot
-from eiderhub.schema.kinds import (
-    BAD,
+from eiderhub.routing.request_target import RequestAttributes
+from eiderhub.routing.table import RouteTable, TableError
+from eiderhub.schema.declared_classes import STRICTNESS, declared_classes, fold_name
+from eiderhub.schema.file_pair import FilePair
+from eiderhub.schema.findings import Location
+from eiderhub.schema.value_types import (
     HOUR_US,
+    INVALID,
     Choice,
     Duration,
     Int,
     Key,
-    Kind,
-    Named,
-    Several,
+    MapOf,
+    OneOrMore,
     Size,
     SocketAddress,
     Table,
     Text,
-    wrong,
+    ValueType,
+    report_invalid,
 )
-from eiderhub.schema.pair import Pair
 
 AS_ASKED, STATED = "as-asked", "stated"
 ENCODINGS = (AS_ASKED, "binary", "compact", STATED)
@@ -43,20 +42,20 @@
 
 @dataclass(frozen=True)
 class FieldPath:
-    words: str = 'field ids with dots between them, such as "1.3": field 3 of argument 1'
+    description: str = 'field ids with dots between them, such as "1.3": field 3 of argument 1'
 
-    def read(self, value: object, spot: Spot) -> Any:
+    def read(self, value: object, spot: Location) -> Any:
         if not isinstance(value, str):
-            return wrong(spot, value, self.words)
+            return report_invalid(spot, value, self.description)
         try:
             return paths.parse(value)
         except ValueError as error:
-            spot.error("field-path", str(error), "No call could have it", f"Write {self.words}")
-            return BAD
+            spot.error("field-path", str(error), "No call could have it", f"Write {self.description}")
+            return INVALID
 
 
 CALL_NAME = rf"[^\x00-\x1f]{{1,{MAX_NAME}}}"
-TABLES: dict[str, Kind] = {
+TABLES: dict[str, ValueType] = {
     "thrift": Table(
         (
             Key("listen", SocketAddress(), "where callers that speak framed Thrift connect"),
@@ -68,10 +67,11 @@
             Key("idle", Duration(1_000_000, 24 * HOUR_US), "how long a caller may ask for nothing", 300_000_000),
             Key("tenant", Text(r".{1,128}", "a tenant's name"), "the tenant of calls that tell none", None),
             Key("deadline", Duration(100_000, HOUR_US), "how long callers wait, where no field tells", 0),
-            Key("fields", Named(FieldPath(), "|".join(FIELDS), len(FIELDS)), "where calls tell these", {}),
-            Key("shedding", Several(Int(0, 0x7FFFFFFF)), "types of exceptions by which endpoints turn calls away unrun",
-                ()),
-            Key("methods", Named(Choice(tuple(EFFECTS)), CALL_NAME), "what a repeat of each does, to be checked", {}),
+            Key("fields", MapOf(FieldPath(), "|".join(FIELDS), len(FIELDS)), "where calls tell these", {}),
+            Key("shedding", OneOrMore(Int(0, 0x7FFFFFFF)),
+                "types of exceptions by which endpoints turn calls away unrun", ()),
+            Key("methods", MapOf(Choice(tuple(EFFECT_BY_REPEAT)), CALL_NAME),
+                "what a repeat of each does, to be checked", {}),
         )
     ),
 }  # fmt: skip
@@ -103,7 +103,7 @@
 # --- checks ---
 
 
-def check(pair: Pair) -> None:
+def check(pair: FilePair) -> None:
     row = pair.tables.get("thrift")
     if row is None:
         return
@@ -119,7 +119,7 @@
     _check_calls(pair, row, spot)
 
 
-def _check_listen(pair: Pair, row: dict[str, Any], spot: Spot) -> None:
+def _check_listen(pair: FilePair, row: dict[str, Any], spot: Location) -> None:
     host, port = row["listen"]
     own = pair.document.get("listen")
     if port and own == f"{host}:{port}":
@@ -135,7 +135,7 @@
         )
 
 
-def _check_tenant(pair: Pair, row: dict[str, Any], spot: Spot) -> None:
+def _check_tenant(pair: FilePair, row: dict[str, Any], spot: Location) -> None:
     tenants = {t["Name"] for t in pair.settings.get("Parties") or [] if "Name" in t}
     if row["tenant"] is not None and row["tenant"] not in tenants:
         (spot / "tenant").error(
@@ -150,12 +150,12 @@
         )
 
 
-def _check_calls(pair: Pair, row: dict[str, Any], spot: Spot) -> None:
+def _check_calls(pair: FilePair, row: dict[str, Any], spot: Location) -> None:
     """Rule 2: no method may come to a class that is repeated more freely than the method bears."""
     effects = {c["Name"]: c["Effect"] for c in pair.categories if "Name" in c and "Effect" in c}
     routes = [route_of(found) for _, found in pair.tables.get("routes", [])]
     try:
-        table = Compiled(routes)
+        table = RouteTable(routes)
     except TableError:
         return  # told where routes are checked
     default = pair.tables.get("routing", {}).get("default", FIRST_PART) == FIRST_PART
@@ -165,11 +165,11 @@
             (spot / "methods" / name).error(
                 "unreachable", "no route takes the method", "Its calls would be turned away", "Add a route for it"
             )
-        elif STRICTNESS[effects[grade]] < STRICTNESS[EFFECTS[word].value]:
+        elif STRICTNESS[effects[grade]] < STRICTNESS[EFFECT_BY_REPEAT[word].value]:
             (spot / "methods" / name).error(
                 "unsafe-method",
                 f"the method is declared {word!r}, and its calls are of the class {grade!r}, which is "
-                f"{WORDS[effects[grade]]!r}",
+                f"{REPEAT_BY_EFFECT[effects[grade]]!r}",
                 "One that may have run would be sent again",
                 f"Route it to a class that is {word!r}",
             )
@@ -183,19 +183,19 @@
         )
 
 
-def _grade_of(name: str, table: Compiled, effects: dict[str, str], default: bool) -> str | None:
+def _grade_of(name: str, table: RouteTable, effects: dict[str, str], default: bool) -> str | None:
     service, _, method = name.rpartition(":")
-    asked = Asked("thrift", segments=(method.encode(),), service=service or None, call=method)
+    asked = RequestAttributes("thrift", segments=(method.encode(),), service=service or None, call=method)
     route = table.find(asked)
     if route is not None:
-        return route.grade if route.grade in effects else None
+        return route.class_name if route.class_name in effects else None
     return method if default and method in effects else None
 
 
-def _check_disguises(pair: Pair, effects: dict[str, str]) -> None:
+def _check_disguises(pair: FilePair, effects: dict[str, str]) -> None:
     """A route by a method's name must not carry off what the business has declared to be stricter."""
     for placed, row in pair.tables.get("routes", []):
-        known = declared().get(fold(row["call"] or ""))
+        known = declared_classes().get(fold_name(row["call"] or ""))
         if known is None or row["class"] not in effects:
             continue
         if STRICTNESS[effects[row["class"]]] < STRICTNESS[known.effect.value]:
--- a/eiderhub/protocols/thrift/plan.py
+++ b/eiderhub/protocols/thrift/plan.py
@@ -15,7 +15,7 @@
 from eiderhub.protocols.thrift.paths import Tree, Value
 from eiderhub.protocols.thrift.wire import MAX_FRAME, Encoding, Failure, Header, Kind
 from eiderhub.routing.plan import Plan
-from eiderhub.routing.target import Asked
+from eiderhub.routing.request_target import RequestAttributes
 
 MAX_ID = 128  # bytes of a request id or a key, as for HTTP
 MAX_DEADLINE_MS = 3_600_000
@@ -90,7 +90,7 @@
     def _grade(self, plan: Plan, name: bytes, tenant: str | None) -> RequestClass | None:
         """The class by the routes; where none takes the call, the method's name is its class."""
         service, method = strip_service(name)
-        asked = Asked(
+        asked = RequestAttributes(
             "thrift",
             "",
             (method,),
@@ -100,7 +100,7 @@
             service.decode("utf-8", "replace") or None,
             method.decode("utf-8", "replace"),
         )
-        return plan.grade(asked)
+        return plan.class_of(asked)
 
     def _tenant(self, found: Mapping[str, Value]) -> str | None:
         told = found.get(TENANT)
@@ -123,7 +123,7 @@
     def _wait_us(self, plan: Plan, grade: RequestClass, found: Mapping[str, Value]) -> int:
         told = _number(found, DEADLINE, MAX_DEADLINE_MS)
         wait_us = told * 1000 if told is not None else self.options.deadline_us or grade.deadline_us
-        return min(wait_us, plan.tighter_us.get(grade.name, wait_us))
+        return min(wait_us, plan.deadline_limits_us.get(grade.name, wait_us))
 
 
 def _number(found: Mapping[str, Value], name: str, most: int) -> int | None:
--- a/eiderhub/routing/conflicts.py
+++ b/eiderhub/routing/conflicts.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator, Sequence
 from typing import NamedTuple
 
-from eiderhub.routing.table import EVERYTHING, PARAM, Condition, Pattern, Route
+from eiderhub.routing.table import ANY_PATH, ANY_SEGMENT, Condition, Pattern, Route
 
 
 class Conflict(NamedTuple):
@@ -18,45 +18,45 @@
     example: str  # a path that both take
 
 
-def meet(a: Pattern, b: Pattern) -> Pattern | None:
+def intersect(a: Pattern, b: Pattern) -> Pattern | None:
     """The pattern of the paths that both take, or None. Two patterns meet in one pattern at the most."""
-    if len(a.parts) < len(b.parts):
+    if len(a.segments) < len(b.segments):
         a, b = b, a
-    if len(a.parts) > len(b.parts) and not b.prefix:
+    if len(a.segments) > len(b.segments) and not b.is_prefix:
         return None
     parts = []
-    for i, part in enumerate(a.parts):
-        other = b.parts[i] if i < len(b.parts) else PARAM
-        if PARAM not in (part, other) and part != other:
+    for i, part in enumerate(a.segments):
+        other = b.segments[i] if i < len(b.segments) else ANY_SEGMENT
+        if ANY_SEGMENT not in (part, other) and part != other:
             return None
-        parts.append(other if part == PARAM else part)
-    if len(a.parts) == len(b.parts):
-        return Pattern(tuple(parts), a.prefix and b.prefix)
-    return Pattern(tuple(parts), a.prefix)
+        parts.append(other if part == ANY_SEGMENT else part)
+    if len(a.segments) == len(b.segments):
+        return Pattern(tuple(parts), a.is_prefix and b.is_prefix)
+    return Pattern(tuple(parts), a.is_prefix)
 
 
-def example_of(pattern: Pattern) -> str:
+def example_path(pattern: Pattern) -> str:
     """A path that the pattern takes."""
-    parts = ["x" if part == PARAM else part.decode("ascii") for part in pattern.parts]
-    return "/" + "/".join(parts + ["x"] * pattern.prefix)
+    parts = ["x" if part == ANY_SEGMENT else part.decode("ascii") for part in pattern.segments]
+    return "/" + "/".join(parts + ["x"] * pattern.is_prefix)
 
 
-class Claim(NamedTuple):
+class RequestSet(NamedTuple):
     """What a route takes: a pattern and conditions, one value for each. A route has one for each method."""
 
     pattern: Pattern
     conditions: frozenset[tuple[Condition, str]]
 
-    def meet(self, other: Claim) -> Claim | None:
-        pattern = meet(self.pattern, other.pattern)
+    def intersect(self, other: RequestSet) -> RequestSet | None:
+        pattern = intersect(self.pattern, other.pattern)
         both = self.conditions | other.conditions
         if pattern is None or len({key for key, _ in both}) != len(both):
             return None
-        return Claim(pattern, both)
+        return RequestSet(pattern, both)
 
 
-def claims(route: Route) -> list[Claim]:
-    return [Claim(route.pattern, frozenset(entry.items())) for entry in route.entries()]
+def request_sets(route: Route) -> list[RequestSet]:
+    return [RequestSet(route.pattern, frozenset(entry.items())) for entry in route.entries()]
 
 
 def _pairs(routes: Sequence[Route]) -> Iterator[tuple[int, int]]:
@@ -64,8 +64,8 @@
     first: dict[bytes, list[int]] = defaultdict(list)
     loose: list[int] = []
     for i, route in enumerate(routes):
-        parts = route.pattern.parts
-        if parts and parts[0] != PARAM:
+        parts = route.pattern.segments
+        if parts and parts[0] != ANY_SEGMENT:
             first[parts[0]].append(i)
         else:
             loose.append(i)
@@ -83,7 +83,7 @@
 
 def find_conflicts(routes: Sequence[Route]) -> list[Conflict]:
     """All contradictions: the same match twice, overlaps with no most specific route and another outcome."""
-    taken = [claims(route) for route in routes]
+    taken = [request_sets(route) for route in routes]
     all_claims = {claim for own in taken for claim in own}
     found = []
     for i, j in _pairs(routes):
@@ -95,23 +95,25 @@
 
 def _apart(a: Route, b: Route) -> bool:
     """No protocol has both a path or a method of HTTP's and a service with calls."""
-    return bool(a.service or a.call) and (b.pattern != EVERYTHING or bool(b.methods))
+    return bool(a.service or a.call) and (b.pattern != ANY_PATH or bool(b.methods))
 
 
-def _between(a: Route, b: Route, own: list[Claim], others: list[Claim], known: set[Claim]) -> tuple[str, str]:
+def _between(
+    a: Route, b: Route, own: list[RequestSet], others: list[RequestSet], known: set[RequestSet]
+) -> tuple[str, str]:
     if _apart(a, b) or _apart(b, a):
         return "", ""
     differ = a.outcome() != b.outcome()
     for claim in own:
         for other in others:
-            both = claim.meet(other)
+            both = claim.intersect(other)
             if both is None:
                 continue
             if claim == other:
-                return "same" if differ else "twice", example_of(both.pattern)
+                return "same" if differ else "twice", example_path(both.pattern)
             # A third route that takes just what both take settles which of them it is.
             if differ and both not in (claim, other) and both not in known:
-                return "overlap", example_of(both.pattern)
+                return "overlap", example_path(both.pattern)
     return "", ""
 
 
@@ -122,7 +124,7 @@
     """
     found = []
     for i, route in enumerate(routes):
-        allowed = methods_of.get(route.grade)
+        allowed = methods_of.get(route.class_name)
         no_method = bool(route.methods and allowed is not None and not route.methods & allowed)
         if no_method or (route.tenant is not None and route.tenant not in tenants):
             found.append(i)
--- a/eiderhub/routing/plan.py
+++ b/eiderhub/routing/plan.py
@@ -10,10 +10,10 @@
 from typing import TYPE_CHECKING
 
 from eiderhub.interface import Effect, RequestClass, Settings
-from eiderhub.routing.target import Asked, first_part_of
+from eiderhub.routing.request_target import RequestAttributes, first_part_of
 
 if TYPE_CHECKING:
-    from eiderhub.routing.table import Table  # the module is there where there are routes
+    from eiderhub.routing.table import RouteTable  # the module is there where there are routes
 
 FIRST_PART, REFUSE = "first-part", "refuse"  # what takes a request that no route takes
 
@@ -27,32 +27,34 @@
 
     settings: Settings  # with the variants among its classes
     default: str = FIRST_PART
-    table: Table | None = None
-    grades: Mapping[str, RequestClass] = field(default_factory=dict)  # by the route's name
-    first_part: Mapping[bytes, RequestClass] = field(default_factory=dict)  # classes and their aliases
+    table: RouteTable | None = None
+    classes_by_route: Mapping[str, RequestClass] = field(default_factory=dict)  # by the route's name
+    classes_by_first_segment: Mapping[bytes, RequestClass] = field(default_factory=dict)  # classes and their aliases
     routed_headers: frozenset[bytes] = frozenset()  # in lower case: those that some route looks at
-    tighter_us: Mapping[str, int] = field(default_factory=dict)  # deadlines that routes make tighter, by variant
+    deadline_limits_us: Mapping[str, int] = field(
+        default_factory=dict
+    )  # deadlines that routes make tighter, by variant
 
     @property
     def variants(self) -> list[RequestClass]:
         return [c for c in self.settings.classes if c.variant_of]
 
-    def grade_at(self, path: bytes) -> RequestClass | None:
+    def class_at_path(self, path: bytes) -> RequestClass | None:
         """As `grade` where there are no routes: nothing but the path is looked at. Raises `target.Refused`."""
         first = first_part_of(path)
-        return None if self.default == REFUSE else self.first_part.get(first)
+        return None if self.default == REFUSE else self.classes_by_first_segment.get(first)
 
-    def grade(self, asked: Asked) -> RequestClass | None:
+    def class_of(self, asked: RequestAttributes) -> RequestClass | None:
         """The class of a request, or its variant; None where nothing takes it. Raises `target.Refused`."""
         if self.table is not None:
             route = self.table.find(asked)
             if route is not None:
-                return self.grades[route.name]
+                return self.classes_by_route[route.name]
         if self.default == REFUSE or not asked.segments:
             return None
-        return self.first_part.get(asked.segments[0])
+        return self.classes_by_first_segment.get(asked.segments[0])
 
 
-def plain(settings: Settings) -> Plan:
+def default_plan(settings: Settings) -> Plan:
     """Today's rule alone: the first part of the path is the class."""
-    return Plan(settings, first_part={c.name.encode(): c for c in settings.classes})
+    return Plan(settings, classes_by_first_segment={c.name.encode(): c for c in settings.classes})
--- a/eiderhub/routing/compile.py
+++ b/eiderhub/routing/plan_compiler.py
@@ -12,7 +12,7 @@
 
 from eiderhub.interface import RequestClass, Settings
 from eiderhub.routing.plan import FIRST_PART, Plan
-from eiderhub.routing.table import Route, Table
+from eiderhub.routing.table import Route, RouteTable
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,35 +42,40 @@
 FREE = ClassRule()
 
 
-def variant(grade: RequestClass, route: Route | None, pool: PoolRule | None, rule: ClassRule = FREE) -> RequestClass:
+def variant(
+    request_class: RequestClass, route: Route | None, pool: PoolRule | None, rule: ClassRule = FREE
+) -> RequestClass:
     """The class as a rule and a route narrow it, under a name that tells all of it: equal names, equal variants."""
     parts = []
     changes: dict[str, object] = {}
     if pool is not None:
-        zones, kinds = _narrowed(grade.allowed_zones, pool.zones), _narrowed(grade.allowed_machine_kinds, pool.kinds)
-        labels = grade.labels | pool.labels
+        zones, kinds = (
+            _narrowed(request_class.allowed_zones, pool.zones),
+            _narrowed(request_class.allowed_machine_kinds, pool.kinds),
+        )
+        labels = request_class.labels | pool.labels
         changes |= {"allowed_zones": zones, "allowed_machine_kinds": kinds, "labels": labels}
         for key, names in (("zones", zones), ("kinds", kinds), ("labels", labels or None)):
             if names is not None:
                 parts.append(f"{key}={','.join(sorted(names))}")
-    if route is not None and 0 < route.deadline_us < grade.deadline_us:
+    if route is not None and 0 < route.deadline_us < request_class.deadline_us:
         changes["deadline_us"] = route.deadline_us
-        changes["objective_us"] = min(grade.objective_us, route.deadline_us)
+        changes["objective_us"] = min(request_class.objective_us, route.deadline_us)
         parts.append(f"deadline={route.deadline_us}us")
     attempts = (route.attempts if route is not None else 0) if rule.retries else 1
     if attempts:
         changes["max_attempts"] = attempts
         parts.append(f"attempts={attempts}")
-    if not rule.copies and grade.may_hedge:
+    if not rule.copies and request_class.may_hedge:
         changes["may_hedge"] = False
         parts.append("copies=no")
     if not parts:
-        return grade
-    name = f"{grade.name}[{' '.join(parts)}]"
-    return dataclasses.replace(grade, name=name, variant_of=grade.name, **changes)  # type: ignore[arg-type]
+        return request_class
+    name = f"{request_class.name}[{' '.join(parts)}]"
+    return dataclasses.replace(request_class, name=name, variant_of=request_class.name, **changes)  # type: ignore[arg-type]
 
 
-def plan(
+def compile_plan(
     settings: Settings,
     routes: Sequence[Route],
     pools: Mapping[str, PoolRule],
@@ -83,7 +88,7 @@
     classes = {c.name: c for c in settings.classes}
     by_default = {name: variant(c, None, None, rules.get(name, FREE)) for name, c in classes.items()}
     grades = {
-        r.name: variant(classes[r.grade], r, pools[r.pool] if r.pool else None, rules.get(r.grade, FREE))
+        r.name: variant(classes[r.class_name], r, pools[r.pool] if r.pool else None, rules.get(r.class_name, FREE))
         for r in routes
     }
     first_part = {name.encode(): c for name, c in by_default.items()}
@@ -93,7 +98,7 @@
     return Plan(
         dataclasses.replace(settings, classes=(*settings.classes, *variants.values())),
         default,
-        Table(routes) if routes else None,
+        RouteTable(routes) if routes else None,
         grades,
         first_part,
         frozenset(name.encode() for route in routes for name, _ in route.headers),
--- a/eiderhub/routing/target.py
+++ b/eiderhub/routing/request_target.py
@@ -22,14 +22,14 @@
 _HIDDEN = (0x2F, 0x5C, 0x00)  # a slash, a backslash or a NUL that is written as an escape
 
 
-class Refused(ValueError):
+class InvalidTargetError(ValueError):
     """A target that could be read in two ways; the text says which part of it, and why."""
 
 
 def _unescape(match: re.Match[bytes]) -> bytes:
     byte = int(match[1], 16)
     if byte in _HIDDEN:
-        raise Refused("an escaped slash, backslash or NUL")
+        raise InvalidTargetError("an escaped slash, backslash or NUL")
     # RFC 3986, 6.2.2: an escape of an unreserved character means that character; of others, the hex is upper case.
     return bytes((byte,)) if byte in UNRESERVED else match[0].upper()
 
@@ -44,7 +44,7 @@
         return ()
     parts = path.strip(b"/").split(b"/") if _is_plain(path) else _careful(path)
     if len(parts) > MAX_SEGMENTS:
-        raise Refused("too many parts")
+        raise InvalidTargetError("too many parts")
     return tuple(parts)
 
 
@@ -64,23 +64,23 @@
 
 def _careful(path: bytes) -> list[bytes]:
     if not path.startswith(b"/"):
-        raise Refused("no path from the root")
+        raise InvalidTargetError("no path from the root")
     if not _ALLOWED.fullmatch(path):
-        raise Refused("a character that no path may hold")
+        raise InvalidTargetError("a character that no path may hold")
     if _BAD_ESCAPE.search(path):
-        raise Refused("a broken escape")
+        raise InvalidTargetError("a broken escape")
     plain = _ESCAPE.sub(_unescape, path)
     if b"%25" in plain and _ESCAPE.search(plain.replace(b"%25", b"%")):
-        raise Refused("an escape of an escape")
+        raise InvalidTargetError("an escape of an escape")
     body = plain[1:-1] if plain.endswith(b"/") and len(plain) > 1 else plain[1:]
     parts = body.split(b"/") if body else []
     for part in parts:
         if not part:
-            raise Refused("an empty part")
+            raise InvalidTargetError("an empty part")
         if part.partition(b";")[0] in (b"", b".", b".."):
-            raise Refused("a dot segment, or parameters without a name")
+            raise InvalidTargetError("a dot segment, or parameters without a name")
     if plain == b"//":
-        raise Refused("an empty part")
+        raise InvalidTargetError("an empty part")
     return parts
 
 
@@ -92,11 +92,11 @@
     try:
         pairs = parse_qsl(query.decode("ascii"), keep_blank_values=True, max_num_fields=256)
     except ValueError as error:
-        raise Refused(f"a query that can't be read: {error}") from None
+        raise InvalidTargetError(f"a query that can't be read: {error}") from None
     for name, value in pairs:
         if name in names:
             if name in found:
-                raise Refused(f"{name!r} given twice in the query")
+                raise InvalidTargetError(f"{name!r} given twice in the query")
             found[name] = value
     return found
 
@@ -104,7 +104,7 @@
 NO_HEADERS: Mapping[bytes, bytes] = {}
 
 
-class Asked:
+class RequestAttributes:
     """A request as a route sees it. `headers` and `query` are read only where some route asks for them."""
 
     __slots__ = ("call", "headers", "method", "protocol", "query", "segments", "service", "tenant")
--- a/eiderhub/routing/table.py
+++ b/eiderhub/routing/table.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from eiderhub.routing.target import Asked, query_values, segments_of
+from eiderhub.routing.request_target import RequestAttributes, query_values, segments_of
 
 MAX_ROUTES = 10_000  # of one table: a few bytes each, but a file past this was made by mistake
 MAX_SHAPES = 16  # sets of conditions at one path: each costs a look in a dictionary for each request
@@ -24,22 +24,22 @@
 # What a condition looks at: ("tenant",), ("method",), ("header", name) and the like.
 Condition = tuple[str, ...]
 PLAIN = ("tenant", "method", "protocol", "service", "call")  # conditions that carry no name of their own
-PARAM = b"{}"  # in a pattern: any one part
-REST = b"*"  # in a pattern, at its end: nothing, or any parts
+ANY_SEGMENT = b"{}"  # in a pattern: any one part
+ANY_SUFFIX = b"*"  # in a pattern, at its end: nothing, or any parts
 
 
 class Pattern(NamedTuple):
     """A path's pattern: literal parts in lower case, `PARAM` for any, and whether it is a prefix."""
 
-    parts: tuple[bytes, ...]
-    prefix: bool
+    segments: tuple[bytes, ...]
+    is_prefix: bool
 
     def __str__(self) -> str:
-        text = "/" + b"/".join(self.parts).decode("ascii")
-        return text.rstrip("/") + "/*" if self.prefix else text
+        text = "/" + b"/".join(self.segments).decode("ascii")
+        return text.rstrip("/") + "/*" if self.is_prefix else text
 
 
-EVERYTHING = Pattern((), True)
+ANY_PATH = Pattern((), True)
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,8 +47,8 @@
     """One route. Conditions that are None or empty ask nothing."""
 
     name: str
-    grade: str  # the class
-    pattern: Pattern = EVERYTHING
+    class_name: str  # the class
+    pattern: Pattern = ANY_PATH
     methods: frozenset[str] = frozenset()
     protocol: str | None = None
     tenant: str | None = None
@@ -62,7 +62,7 @@
 
     def outcome(self) -> tuple[str, str | None, int, int]:
         """What it does with a request."""
-        return self.grade, self.pool, self.deadline_us, self.attempts
+        return self.class_name, self.pool, self.deadline_us, self.attempts
 
     def conditions(self) -> dict[Condition, str]:
         """What it asks beside path and method."""
@@ -114,7 +114,7 @@
     """Routes that make no table: two that ask the same, or too many of something."""
 
 
-class Table:
+class RouteTable:
     """Routes, compiled once. A look-up walks the request's path and tries the few shapes that stand there."""
 
     def __init__(self, routes: Iterable[Route]) -> None:
@@ -128,20 +128,20 @@
 
     def _place(self, route: Route) -> None:
         node = self._root
-        for part in route.pattern.parts:
-            if part == PARAM:
+        for part in route.pattern.segments:
+            if part == ANY_SEGMENT:
                 node.param = node.param or _Node()
                 node = node.param
             else:
                 if node.literals is _NO_LITERALS:
                     node.literals = {}
                 node = node.literals.setdefault(part, _Node())
-        if route.pattern.prefix:
+        if route.pattern.is_prefix:
             node.rest = _with(node.rest, route)
         else:
             node.exact = _with(node.exact, route)
 
-    def find(self, asked: Asked) -> Route | None:
+    def find(self, asked: RequestAttributes) -> Route | None:
         """The most specific route that takes the request, or None. Raises `target.Refused` on two query values.
 
         Depth first, in the stated order. What comes after the literal branch waits in `later`, so that the usual
@@ -196,7 +196,7 @@
     return -len(group[0]), [condition_order(condition) for condition in group[0]]
 
 
-def _first(groups: tuple[Group, ...], asked: Asked, query: Mapping[str, str]) -> Route | None:
+def _first(groups: tuple[Group, ...], asked: RequestAttributes, query: Mapping[str, str]) -> Route | None:
     for shape, group in groups:
         if not shape:
             return group[()]
@@ -213,7 +213,7 @@
     return None
 
 
-def value_of(condition: Condition, asked: Asked, query: Mapping[str, str]) -> str | None:
+def value_of(condition: Condition, asked: RequestAttributes, query: Mapping[str, str]) -> str | None:
     """What the request has where a condition looks; None: nothing."""
     kind = condition[0]
     if kind == "method":
@@ -230,7 +230,7 @@
     return asked.service if kind == "service" else asked.call
 
 
-def read_pattern(text: str) -> Pattern:
+def parse_pattern(text: str) -> Pattern:
     """A pattern as the operator's file writes it: `/a/b`, `/a/{id}/b`, `/a/*`. Raises ValueError saying why."""
     prefix = text == "/*" or text.endswith("/*")
     body = text[:-2] or "/" if prefix else text
@@ -245,7 +245,7 @@
             inner = part[1:-1]
             if not (part.startswith("{") and part.endswith("}")) or not inner.replace("_", "a").isalnum():
                 raise ValueError(f"{text!r}: {part!r} is no {{name}} that fills a whole part")
-            parts.append(PARAM)
+            parts.append(ANY_SEGMENT)
         elif "*" in part:
             raise ValueError(f"{text!r}: '*' stands only for the rest of a path, at its end")
         else:
--- a/eiderhub/schema/declared.py
+++ b/eiderhub/schema/declared_classes.py
@@ -14,12 +14,12 @@
 from urllib.parse import unquote
 
 from eiderhub.interface import Effect
-from eiderhub.schema.files import Unreadable, read_bytes, read_text, read_toml
-from eiderhub.schema.findings import Report, Spot
-from eiderhub.schema.kinds import HOUR_US, Choice, Duration, Key, Named, Table
+from eiderhub.schema.files import UnreadableFileError, decode_text, parse_toml, read_bytes
+from eiderhub.schema.findings import Location, Report
+from eiderhub.schema.value_types import HOUR_US, Choice, Duration, Key, MapOf, Table
 
-VARIABLE = "EIDERHUB_DECLARED"
-CLASSES = Named(
+DECLARED_CLASSES_VARIABLE = "EIDERHUB_DECLARED"
+CLASSES = MapOf(
     Table(
         (
             Key("effect", Choice(tuple(effect.value for effect in Effect)), "what a repeat does"),
@@ -30,32 +30,35 @@
 )
 
 
-class Declared(NamedTuple):
+class DeclaredClass(NamedTuple):
     effect: Effect
     window_us: int = 0  # how long endpoints drop a repeat; 0: not told
 
 
-def declared() -> Mapping[str, Declared]:
-    """By folded name; nothing where the environment names no file. Raises `Unreadable` with what is wrong in it."""
-    path = os.environ.get(VARIABLE)
+def declared_classes() -> Mapping[str, DeclaredClass]:
+    """Return the declared classes by folded name; none if the environment names no file.
+
+    Raises `UnreadableFileError` if the file can't be read or has an error.
+    """
+    path = os.environ.get(DECLARED_CLASSES_VARIABLE)
     return _read(path) if path else {}
 
 
 @cache
-def _read(path: str) -> Mapping[str, Declared]:
+def _read(path: str) -> Mapping[str, DeclaredClass]:
     report = Report(path)
-    text = read_text(read_bytes(path), Spot(report))
-    document = read_toml(text, report) if text is not None else None
-    found = CLASSES.read(document, Spot(report)) if document is not None else {}
+    text = decode_text(read_bytes(path), Location(report))
+    document = parse_toml(text, report) if text is not None else None
+    found = CLASSES.read(document, Location(report)) if document is not None else {}
     if report.errors:
-        raise Unreadable(f"{VARIABLE}: {report.errors[0]}")
-    return {fold(name): Declared(Effect(row["effect"]), row["window"]) for name, row in found.items()}
+        raise UnreadableFileError(f"{DECLARED_CLASSES_VARIABLE}: {report.errors[0]}")
+    return {fold_name(name): DeclaredClass(Effect(row["effect"]), row["window"]) for name, row in found.items()}
 
 
 STRICTNESS = {Effect.IDEMPOTENT.value: 0, Effect.DEDUPLICATED.value: 1, Effect.AT_MOST_ONCE.value: 2}
 
 
-def fold(name: str) -> str:
+def fold_name(name: str) -> str:
     """A name as a hurried reader, or a lax server, would see it: for names that are another in disguise."""
     plain = unquote(unquote(name))
     if not plain.isascii():
--- a/eiderhub/schema/pair.py
+++ b/eiderhub/schema/file_pair.py
@@ -5,17 +5,17 @@
 from dataclasses import dataclass
 from typing import Any
 
-from eiderhub.schema.findings import Report, Spot
+from eiderhub.schema.findings import Location, Report
 
 
 @dataclass(frozen=True)
-class Pair:
+class FilePair:
     """Either side may be empty: a file that is missing, or could not be read, has its finding already."""
 
     document: dict[str, Any]  # the sidecar's file, as `sidecar_file.DOCUMENT` read it
-    sidecar: Spot
+    sidecar: Location
     tables: dict[str, Any]  # the operator's file, as its owners' tables read it
-    operator: Spot
+    operator: Location
 
     @property
     def settings(self) -> dict[str, Any]:
--- a/eiderhub/schema/files.py
+++ b/eiderhub/schema/files.py
@@ -8,24 +8,24 @@
 import stat
 from typing import Any, NoReturn
 
-from eiderhub.schema.findings import Path, Report, Spot
+from eiderhub.schema.findings import KeyPath, Location, Report
 
-MOST_BYTES = 8 << 20  # of one file: a list of a thousand endpoints takes 300 KB
-TRIES = 3  # at a file that changes while it is read
-FOLLOWS = "No sidecar starts from it"
+MAX_FILE_BYTES = 8 << 20  # of one file: a list of a thousand endpoints takes 300 KB
+MAX_READ_ATTEMPTS = 3  # at a file that changes while it is read
+CONSEQUENCE = "No sidecar starts from it"
 
 
-class Unreadable(Exception):
+class UnreadableFileError(Exception):
     """The file can't be read at all; the text names it and says why."""
 
 
 def read_bytes(path: str) -> bytes:
-    """The whole of a regular file, as it was at one moment. Raises `Unreadable`; never waits on a pipe."""
-    for _ in range(TRIES):
+    """The whole of a regular file, as it was at one moment. Raises `UnreadableFileError`; never waits on a pipe."""
+    for _ in range(MAX_READ_ATTEMPTS):
         content = _read_once(path)
         if content is not None:
             return content
-    raise Unreadable(f"{path}: it changes while it is read; write a new file and rename it")
+    raise UnreadableFileError(f"{path}: it changes while it is read; write a new file and rename it")
 
 
 def _read_once(path: str) -> bytes | None:
@@ -33,13 +33,13 @@
         # Without O_NONBLOCK the mere opening of a pipe would wait for a writer.
         number = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
     except (OSError, ValueError) as error:
-        raise Unreadable(f"{path}: {getattr(error, 'strerror', None) or error}") from None
+        raise UnreadableFileError(f"{path}: {getattr(error, 'strerror', None) or error}") from None
     try:
         before = os.fstat(number)
         if not stat.S_ISREG(before.st_mode):
-            raise Unreadable(f"{path}: {'a folder' if stat.S_ISDIR(before.st_mode) else 'no regular file'}")
-        if before.st_size > MOST_BYTES:
-            raise Unreadable(f"{path}: {before.st_size} bytes; {MOST_BYTES} are the most")
+            raise UnreadableFileError(f"{path}: {'a folder' if stat.S_ISDIR(before.st_mode) else 'no regular file'}")
+        if before.st_size > MAX_FILE_BYTES:
+            raise UnreadableFileError(f"{path}: {before.st_size} bytes; {MAX_FILE_BYTES} are the most")
         content = _read_all(number)
         after = os.fstat(number)
     finally:
@@ -54,28 +54,30 @@
 
 def _read_all(number: int) -> bytes:
     parts = []
-    left = MOST_BYTES + 1
+    left = MAX_FILE_BYTES + 1
     while left > 0 and (part := os.read(number, left)):
         parts.append(part)
         left -= len(part)
     return b"".join(parts)
 
 
-def read_text(content: bytes, spot: Spot) -> str | None:
+def decode_text(content: bytes, location: Location) -> str | None:
     """UTF-8 with no mark ahead; the finding names the line of the first byte that is not."""
     try:
         text = content.decode("utf-8")
     except UnicodeDecodeError as error:
-        spot.report.lines[()] = content.count(b"\n", 0, error.start) + 1
-        spot.error("encoding", f"byte {error.start} is no UTF-8", FOLLOWS, "Save the file as UTF-8")
+        location.report.lines[()] = content.count(b"\n", 0, error.start) + 1
+        location.error("encoding", f"byte {error.start} is no UTF-8", CONSEQUENCE, "Save the file as UTF-8")
         return None
     if text.startswith("\ufeff"):
-        spot.report.lines[()] = 1
-        spot.error("bom", "a byte order mark stands ahead of the text", FOLLOWS, "Save it as UTF-8 without a mark")
+        location.report.lines[()] = 1
+        location.error(
+            "bom", "a byte order mark stands ahead of the text", CONSEQUENCE, "Save it as UTF-8 without a mark"
+        )
         return None
     if "\0" in text:
-        spot.report.lines[()] = text.count("\n", 0, text.index("\0")) + 1
-        spot.error("encoding", "a NUL byte in the text", FOLLOWS, "Save the file as plain text")
+        location.report.lines[()] = text.count("\n", 0, text.index("\0")) + 1
+        location.error("encoding", "a NUL byte in the text", CONSEQUENCE, "Save the file as plain text")
         return None
     return text
 
@@ -87,27 +89,27 @@
     raise ValueError(f"{text} is no number in JSON")
 
 
-def read_json(text: str, report: Report) -> Any:
+def parse_json(text: str, report: Report) -> Any:
     """The document, or None with a finding. Keys that are given twice are findings too."""
-    spot = Spot(report)
+    location = Location(report)
     try:
         value = json.loads(text, parse_constant=_no_constant)
     except json.JSONDecodeError as error:
         report.lines[()] = error.lineno
-        spot.error("syntax", f"no JSON: {error.msg} (column {error.colno})", FOLLOWS, "Mend it there")
+        location.error("syntax", f"no JSON: {error.msg} (column {error.colno})", CONSEQUENCE, "Mend it there")
         return None
     except RecursionError:
-        spot.error("nesting", "nested too deep", FOLLOWS, "A configuration has some six levels")
+        location.error("nesting", "nested too deep", CONSEQUENCE, "A configuration has some six levels")
         return None
     except ValueError as error:
         report.lines[()] = _line_of_constant(text)
-        spot.error("number", str(error).split(";")[0], FOLLOWS, "Write a plain number")
+        location.error("number", str(error).split(";")[0], CONSEQUENCE, "Write a plain number")
         return None
     report.lines = {}
     for path, line in _json_keys(text):
         if path in report.lines:
             report.lines[path] = line
-            Spot(report, path).error(
+            Location(report, path).error(
                 "twice", "the key is given twice", "The later one counts, unseen", "Keep one of them"
             )
         report.lines[path] = line
@@ -122,9 +124,9 @@
 _TOKEN = re.compile(r'"(?:[^"\\]|\\.)*"|[{}\[\],:]|[^\s{}\[\],:"]+|\n')
 
 
-def _json_keys(text: str) -> list[tuple[Path, int]]:
+def _json_keys(text: str) -> list[tuple[KeyPath, int]]:
     """Each value's path and line, in order, of a text that is known to be JSON."""
-    found: list[tuple[Path, int]] = [((), 1)]
+    found: list[tuple[KeyPath, int]] = [((), 1)]
     stack: list[str | int | None] = []  # of each open container: the key or the place that comes next
     line = 1
     pending: str | None = None
@@ -157,24 +159,24 @@
 # --- TOML ---
 
 
-def read_toml(text: str, report: Report) -> dict[str, Any] | None:
+def parse_toml(text: str, report: Report) -> dict[str, Any] | None:
     """The document, or None with a finding."""
     import tomllib  # here, since a reload without an operator's file reads none
 
-    spot = Spot(report)
+    location = Location(report)
     try:
         value = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         place = re.search(r"\(at line (\d+), column (\d+)\)", str(error))
         report.lines[()] = int(place[1]) if place else len(text.splitlines())
         what = str(error).split(" (at ")[0]
-        spot.error("syntax", f"no TOML: {what}", FOLLOWS, "Mend it there")
+        location.error("syntax", f"no TOML: {what}", CONSEQUENCE, "Mend it there")
         return None
     except RecursionError:
-        spot.error("nesting", "nested too deep", FOLLOWS, "A configuration has some four levels")
+        location.error("nesting", "nested too deep", CONSEQUENCE, "A configuration has some four levels")
         return None
     except ValueError as error:
-        spot.error("number", str(error).split(";")[0], FOLLOWS, "Write a plain number")
+        location.error("number", str(error).split(";")[0], CONSEQUENCE, "Write a plain number")
         return None
     report.lines = _toml_keys(text)
     return value
@@ -202,11 +204,11 @@
     return tuple(found)
 
 
-def _toml_keys(text: str) -> dict[Path, int]:
+def _toml_keys(text: str) -> dict[KeyPath, int]:
     """The line of each key, of a text that is known to be TOML; what stands inside a value has that value's line."""
-    lines: dict[Path, int] = {(): 1}
-    counts: dict[Path, int] = {}
-    table: Path = ()
+    lines: dict[KeyPath, int] = {(): 1}
+    counts: dict[KeyPath, int] = {}
+    table: KeyPath = ()
     depth, quote = 0, ""
     for number, line in enumerate(text.split("\n"), 1):
         if not depth and not quote:
@@ -226,9 +228,9 @@
     return lines
 
 
-def _resolve(steps: tuple[str, ...], is_row: bool, counts: dict[Path, int]) -> Path:
+def _resolve(steps: tuple[str, ...], is_row: bool, counts: dict[KeyPath, int]) -> KeyPath:
     """A header's path, with the places of the rows that it lies in."""
-    path: Path = ()
+    path: KeyPath = ()
     for n, step in enumerate(steps):
         path = (*path, step)
         if n == len(steps) - 1 and is_row:
--- a/eiderhub/schema/findings.py
+++ b/eiderhub/schema/findings.py
@@ -5,9 +5,9 @@
 from dataclasses import asdict, dataclass
 from enum import Enum
 
-MOST = 500  # findings told of one file: past that it is another kind of file, and the rest says nothing new
+MAX_FINDINGS = 500  # findings told of one file: past that it is another kind of file, and the rest says nothing new
 
-Path = tuple[str | int, ...]
+KeyPath = tuple[str | int, ...]
 
 
 class Severity(Enum):
@@ -26,7 +26,7 @@
     follows: str
     do: str
 
-    def order(self) -> tuple[str, int, str, str, str]:
+    def sort_key(self) -> tuple[str, int, str, str, str]:
         return (self.file, self.line, self.key, self.code, self.what)
 
     def as_dict(self) -> dict[str, str | int]:
@@ -39,7 +39,7 @@
         return f"{place}:{key} {self.severity.value} [{self.code}] {self.what}. {self.follows}. {do}"
 
 
-def show_key(path: Path) -> str:
+def show_key(path: KeyPath) -> str:
     """`settings.Categories[0].Name`."""
     text = ""
     for step in path:
@@ -50,20 +50,20 @@
 class Report:
     """The findings of one file; `lines` tells where its keys stand."""
 
-    def __init__(self, file: str, lines: dict[Path, int] | None = None) -> None:
+    def __init__(self, file: str, lines: dict[KeyPath, int] | None = None) -> None:
         self.file = file
         self.lines = lines or {}
         self.findings: list[Finding] = []
 
-    def line(self, path: Path) -> int:
+    def line(self, path: KeyPath) -> int:
         """The line of a key, or of the nearest that holds it."""
         for end in range(len(path), -1, -1):
             if path[:end] in self.lines:
                 return self.lines[path[:end]]
         return 0
 
-    def add(self, severity: Severity, path: Path, code: str, what: str, follows: str, do: str) -> None:
-        if len(self.findings) < MOST:
+    def add(self, severity: Severity, path: KeyPath, code: str, what: str, follows: str, do: str) -> None:
+        if len(self.findings) < MAX_FINDINGS:
             self.findings.append(Finding(self.file, self.line(path), show_key(path), code, severity, what, follows, do))
 
     @property
@@ -72,14 +72,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spot:
+class Location:
     """A place in a file, to report on."""
 
     report: Report
-    path: Path = ()
+    path: KeyPath = ()
 
-    def __truediv__(self, step: str | int) -> Spot:
-        return Spot(self.report, (*self.path, step))
+    def __truediv__(self, step: str | int) -> Location:
+        return Location(self.report, (*self.path, step))
 
     def error(self, code: str, what: str, follows: str, do: str) -> None:
         self.report.add(Severity.ERROR, self.path, code, what, follows, do)
@@ -91,5 +91,5 @@
         return show_key(self.path)
 
 
-def sort(findings: list[Finding]) -> list[Finding]:
-    return sorted(findings, key=Finding.order)
+def sort_findings(findings: list[Finding]) -> list[Finding]:
+    return sorted(findings, key=Finding.sort_key)
--- a/eiderhub/schema/units.py
+++ b/eiderhub/schema/units.py
@@ -9,10 +9,10 @@
 _WRITTEN = re.compile(r"([0-9]{1,15}(?:\.[0-9]{1,9})?) ?([A-Za-z]+)")
 
 
-def _parse(text: str, units: dict[str, int], words: str) -> int:
+def _parse(text: str, units: dict[str, int], description: str) -> int:
     match = _WRITTEN.fullmatch(text)
     if match is None:
-        raise ValueError(f"{text!r} is no {words}")
+        raise ValueError(f"{text!r} is no {description}")
     factor = units.get(match[2])
     if factor is None:
         raise ValueError(f"{text!r}: the unit is one of {', '.join(units)}")
@@ -41,7 +41,7 @@
     return f"{amount}{next(iter(units))}"
 
 
-def show_duration(us: int) -> str:
+def format_duration(us: int) -> str:
     """The shortest exact way to write so many microseconds; `parse_duration` reads it back."""
     for unit in ("s", "ms"):
         factor = DURATIONS[unit]
@@ -50,5 +50,5 @@
     return _show(us, DURATIONS)
 
 
-def show_size(size: int) -> str:
+def format_size(size: int) -> str:
     return _show(size, SIZES)
--- a/eiderhub/sidecar/host.py
+++ b/eiderhub/sidecar/host.py
@@ -18,7 +18,7 @@
 from eiderhub.membership.endpoint_list import ListedEndpoint
 from eiderhub.membership.poll_schedule import MIN_GRACE_US, PollSchedule
 from eiderhub.membership.watch_suspicion import WatchSuspicion
-from eiderhub.routing.plan import plain
+from eiderhub.routing.plan import default_plan
 from eiderhub.sidecar.clock import Timer, now_us
 from eiderhub.sidecar.config import Config
 from eiderhub.sidecar.discovery import Watcher
@@ -75,7 +75,7 @@
     """Implements the module's `Actions` and feeds its `Events`."""
 
     def __init__(self, config: Config) -> None:
-        self.plan = config.plan or plain(config.settings)
+        self.plan = config.plan or default_plan(config.settings)
         settings = self.plan.settings
         self.settings = settings
         self.max_deadline_s = max(c.deadline_us for c in settings.classes) / 1e6
@@ -145,7 +145,7 @@
         What is in flight ends under the class that it was taken with. The module goes first: should it fail,
         nothing has changed yet.
         """
-        plan = config.plan or plain(config.settings)
+        plan = config.plan or default_plan(config.settings)
         if plan.variants or self.plan.variants:
             self.balancer.adopt(now_us(), plan.variants)
         self.plan = plan
--- a/eiderhub/sidecar/options.py
+++ b/eiderhub/sidecar/options.py
@@ -6,15 +6,15 @@
 from ipaddress import ip_address
 from typing import Any
 
-from eiderhub.schema.findings import Spot
-from eiderhub.schema.kinds import Choice, Key, Kind, Number, Table
-from eiderhub.schema.pair import Pair
-from eiderhub.schema.units import show_duration
+from eiderhub.schema.file_pair import FilePair
+from eiderhub.schema.findings import Location
+from eiderhub.schema.units import format_duration
+from eiderhub.schema.value_types import Choice, Key, Number, Table, ValueType
 from eiderhub.sidecar.resource_limits import MIN_SOCKETS, ResourceLimits
 
 ANY, LOOPBACK = "any", "loopback"
 
-TABLES: dict[str, Kind] = {
+TABLES: dict[str, ValueType] = {
     "limits": Table(
         (
             Key("listen", Choice((ANY, LOOPBACK)), "which addresses the sidecar may listen on", ANY),
@@ -29,7 +29,7 @@
 }
 
 
-def check(pair: Pair) -> None:
+def check(pair: FilePair) -> None:
     limits: dict[str, Any] = pair.tables.get("limits", {})
     spot = pair.operator / "limits"
     if limits.get("listen") == LOOPBACK:
@@ -39,7 +39,7 @@
         _check_rate(pair.document.get("limits") or {}, aims, limits["rate"], spot / "rate")
 
 
-def _check_listen(listen: str | None, spot: Spot) -> None:
+def _check_listen(listen: str | None, spot: Location) -> None:
     if listen is None:
         return
     host = listen.rpartition(":")[0].strip("[]")
@@ -52,7 +52,7 @@
         )
 
 
-def _check_rate(limits: dict[str, Any], aims_us: list[int], rate: float, spot: Spot) -> None:
+def _check_rate(limits: dict[str, Any], aims_us: list[int], rate: float, spot: Location) -> None:
     """Whether the descriptors carry the expected rate, each request open for its wanted time at the worst."""
     sockets = limits.get("sockets", 1024)
     if not aims_us or sockets < MIN_SOCKETS:
@@ -63,7 +63,7 @@
     if needed > most:
         spot.error(
             "descriptors",
-            f"{rate:g} requests a second, open for up to {show_duration(max(aims_us))}, need {needed} connections on "
+            f"{rate:g} requests a second, open for up to {format_duration(max(aims_us))}, need {needed} connections on "
             f"each side; {sockets} descriptors leave {most}",
             "Callers would be cut off at the expected rate",
             "Allow more descriptors, or run more sidecars",
--- a/tests/config/serving.py
+++ b/tests/config/serving.py
@@ -14,10 +14,10 @@
 
 from eiderhub.config.load import Source, examine
 from eiderhub.interface import Effect, RequestClass
-from eiderhub.routing.conflicts import example_of
+from eiderhub.routing.conflicts import example_path
 from eiderhub.routing.plan import METHOD, Plan
+from eiderhub.routing.request_target import RequestAttributes, segments_of
 from eiderhub.routing.table import Route
-from eiderhub.routing.target import Asked, segments_of
 from eiderhub.sidecar.config import Config
 from standins.discovery import Discovery, row
 from standins.endpoint import Behaviour, Endpoint, Ledger
@@ -34,7 +34,7 @@
 
     target: str
     headers: dict[str, str]
-    grade: RequestClass
+    request_class: RequestClass
 
 
 def ways(plan: Plan) -> Iterator[Way]:
@@ -43,35 +43,41 @@
             headers = dict(route.headers)
             if route.tenant:
                 headers["Req-Owner"] = route.tenant
-            target = example_of(route.pattern) + ("?" + urlencode(route.query) if route.query else "")
+            target = example_path(route.pattern) + ("?" + urlencode(route.query) if route.query else "")
             yield Way(target, headers, _really(plan, route, target, headers))
     if plan.default == "first-part":
-        for name, grade in plan.first_part.items():
+        for name, request_class in plan.classes_by_first_segment.items():
             path = f"/{quote(name, safe='')}/a"
             try:
                 segments = segments_of(path.encode())
             except ValueError:
                 continue  # no path can name it: the checker warns of that
             if segments[0] == name:
-                yield Way(path, {}, plan.grade(Asked("http", METHOD[grade.effect], segments)) or grade)
+                yield Way(
+                    path,
+                    {},
+                    plan.class_of(RequestAttributes("http", METHOD[request_class.effect], segments)) or request_class,
+                )
 
 
 def _really(plan: Plan, route: Route, target: str, headers: dict[str, str]) -> RequestClass:
     """The class of a route's example: another route may be narrower and take it."""
     path, _, query = target.partition("?")
     given = {name.lower().encode(): value.encode() for name, value in headers.items()}
-    method = METHOD[plan.grades[route.name].effect]
-    asked = Asked("http", method, segments_of(path.encode()), given, query.encode(), headers.get("Req-Owner"))
-    return plan.grade(asked) or plan.grades[route.name]
+    method = METHOD[plan.classes_by_route[route.name].effect]
+    attributes = RequestAttributes(
+        "http", method, segments_of(path.encode()), given, query.encode(), headers.get("Req-Owner")
+    )
+    return plan.class_of(attributes) or plan.classes_by_route[route.name]
 
 
 def rows_for(config: Config, address: str) -> list[dict[str, Any]]:
     """One endpoint, listed once for each set of facts that some class asks for."""
     found = [row("s-0", address, zone=config.settings.zone)]
-    for i, grade in enumerate(config.plan.settings.classes if config.plan else ()):
-        zone = sorted(grade.allowed_zones)[0] if grade.allowed_zones else config.settings.zone
-        kind = sorted(grade.allowed_machine_kinds)[0] if grade.allowed_machine_kinds else "m"
-        facts = dict(label.split("=", 1) for label in grade.labels)
+    for i, request_class in enumerate(config.plan.settings.classes if config.plan else ()):
+        zone = sorted(request_class.allowed_zones)[0] if request_class.allowed_zones else config.settings.zone
+        kind = sorted(request_class.allowed_machine_kinds)[0] if request_class.allowed_machine_kinds else "m"
+        facts = dict(label.split("=", 1) for label in request_class.labels)
         found.append(row(f"s-{i + 1}", address, zone=zone, machineType=kind, metadata=facts))
     return found
 
@@ -113,14 +119,14 @@
     """Whether it was served: the one other end is a failure, or a refusal, once the time of its class was over."""
     tenant = config.settings.tenants[0].name if config.settings.tenants else "nobody"
     headers = {"Host": "a", "Req-Id": name, "Req-Owner": tenant, "Req-Deadline-Ms": "5000", **way.headers}
-    if way.grade.effect is Effect.DEDUPLICATED:
+    if way.request_class.effect is Effect.DEDUPLICATED:
         headers["Idempotency-Key"] = f"k{name}"
     reader, writer = await asyncio.open_connection(host, port)
-    writer.write(request(METHOD[way.grade.effect], way.target, headers))
+    writer.write(request(METHOD[way.request_class.effect], way.target, headers))
     begun = time.monotonic()
     answer = await read_message(reader)
     writer.close()
-    if answer.status in (502, 503, 504) and time.monotonic() - begun > way.grade.objective_us / 1e6 - MARGIN_S:
+    if answer.status in (502, 503, 504) and time.monotonic() - begun > way.request_class.objective_us / 1e6 - MARGIN_S:
         return False
     assert (answer.status, answer.body) == (200, way.target.encode()), (way, answer.first, answer.body)
     return True
--- a/tests/config/test_corpus.py
+++ b/tests/config/test_corpus.py
@@ -12,7 +12,7 @@
 from eiderhub.config.describe import is_description
 from eiderhub.config.load import checked
 from eiderhub.config.write import write
-from eiderhub.schema.files import read_toml
+from eiderhub.schema.files import parse_toml
 from eiderhub.schema.findings import Report, Severity
 from eiderhub.sidecar.config import ConfigError
 from tests.config.serving import serve_through
@@ -32,7 +32,7 @@
     if own.exists():
         return own, path
     try:
-        document = read_toml(path.read_text(encoding="utf-8"), Report(""))
+        document = parse_toml(path.read_text(encoding="utf-8"), Report(""))
     except UnicodeDecodeError:
         document = {}
     return (None if document and is_description(document) else BASE), path
--- a/tests/config/test_declared.py
+++ b/tests/config/test_declared.py
@@ -8,7 +8,7 @@
 
 from eiderhub.config.check import check
 from eiderhub.config.load import checked
-from eiderhub.schema.declared import VARIABLE
+from eiderhub.schema.declared_classes import DECLARED_CLASSES_VARIABLE
 from eiderhub.sidecar.config import ConfigError
 
 CORPUS = Path(__file__).parent.parent / "corpus"
@@ -18,7 +18,7 @@
 def test_another_customers_class_of_the_same_name_is_not_held_to_it(monkeypatch: pytest.MonkeyPatch) -> None:
     """Seen: the names and effects of one customer stood in the program, for all."""
     assert [finding.code for finding in check([str(WEAKER)]).findings] == ["effect-declared"]
-    monkeypatch.delenv(VARIABLE)
+    monkeypatch.delenv(DECLARED_CLASSES_VARIABLE)
     assert check([str(WEAKER)]).status == 0
 
 
@@ -39,7 +39,7 @@
     path = tmp_path / "declared.toml"
     if text is not None:
         path.write_text(text, encoding="utf-8")
-    monkeypatch.setenv(VARIABLE, str(path))
+    monkeypatch.setenv(DECLARED_CLASSES_VARIABLE, str(path))
     result = check([str(CORPUS / "base.json")])
     assert result.status == 2
     (told,) = result.unreadable
--- a/tests/config/test_directions.py
+++ b/tests/config/test_directions.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from eiderhub.config.load import ANYWHERE, Source, examine
-from eiderhub.routing.plan import plain
+from eiderhub.routing.plan import default_plan
 from eiderhub.sidecar.config import ConfigError, config_from
 from tests.support import RecordingHost
 
@@ -32,7 +32,7 @@
         config = config_from(document, environ)
     except ConfigError:
         return False
-    RecordingHost(plain(config.settings).settings, [entry.endpoint for entry in config.known.entries])
+    RecordingHost(default_plan(config.settings).settings, [entry.endpoint for entry in config.known.entries])
     return True
 
 
--- a/tests/config/test_files.py
+++ b/tests/config/test_files.py
@@ -1,4 +1,4 @@
-"""Files of every sort: a value, a finding or `Unreadable`, and never a wait."""
+"""Files of every sort: a value, a finding or `UnreadableFileError`, and never a wait."""
 
 from __future__ import annotations
 
@@ -13,24 +13,23 @@
 
 from eiderhub.config.check import check
 from eiderhub.config.command import main
-from eiderhub.schema.files import MOST_BYTES, Unreadable, read_bytes, read_json, read_toml
-from eiderhub.schema.findings import Path as KeyPath
-from eiderhub.schema.findings import Report
-from eiderhub.schema.toml import toml_key, toml_value
+from eiderhub.schema.files import MAX_FILE_BYTES, UnreadableFileError, parse_json, parse_toml, read_bytes
+from eiderhub.schema.findings import KeyPath, Report
+from eiderhub.schema.toml_writer import toml_key, toml_value
 
 
 def test_a_pipe_is_refused_and_not_waited_for(tmp_path: Path) -> None:
     os.mkfifo(tmp_path / "x.json")
-    with pytest.raises(Unreadable, match="no regular file"):
+    with pytest.raises(UnreadableFileError, match="no regular file"):
         read_bytes(str(tmp_path / "x.json"))
 
 
 def test_a_folder_and_a_missing_file_are_told_apart(tmp_path: Path) -> None:
-    with pytest.raises(Unreadable, match="a folder"):
+    with pytest.raises(UnreadableFileError, match="a folder"):
         read_bytes(str(tmp_path))
-    with pytest.raises(Unreadable, match="No such file"):
+    with pytest.raises(UnreadableFileError, match="No such file"):
         read_bytes(str(tmp_path / "none.json"))
-    with pytest.raises(Unreadable, match="null"):
+    with pytest.raises(UnreadableFileError, match="null"):
         read_bytes("a\0b.json")
 
 
@@ -38,7 +37,7 @@
     path = tmp_path / "x.json"
     with path.open("wb") as file:
         file.truncate(100 << 20)
-    with pytest.raises(Unreadable, match=f"{100 << 20} bytes; {MOST_BYTES} are the most"):
+    with pytest.raises(UnreadableFileError, match=f"{100 << 20} bytes; {MAX_FILE_BYTES} are the most"):
         read_bytes(str(path))
 
 
@@ -62,7 +61,7 @@
     changes = 2
     assert read_bytes(str(path)) == b"22"
     times, changes = iter(range(1000)), 1000
-    with pytest.raises(Unreadable, match="changes while it is read"):
+    with pytest.raises(UnreadableFileError, match="changes while it is read"):
         read_bytes(str(path))
 
 
@@ -143,7 +142,7 @@
 def test_every_key_of_a_json_document_has_its_line(value: object) -> None:
     text = json.dumps(value, indent=0, ensure_ascii=False)
     report = Report("x")
-    assert read_json(text, report) == value
+    assert parse_json(text, report) == value
     assert report.findings == []
     assert set(report.lines) == set(paths(value))
     order = [report.lines[path] for path in paths(value)]
@@ -171,14 +170,14 @@
                 text.append(f"{toml_key(name)} = {toml_value(item)}")
                 expected[(key, name)] = len(text)
     report = Report("x")
-    assert read_toml("\n".join(text), report) == value
+    assert parse_toml("\n".join(text), report) == value
     assert {path: line for path, line in report.lines.items() if path in expected} == expected
 
 
 def test_lines_of_rows_and_of_values_over_several_lines() -> None:
     text = 'a = [\n  1, # [\n  2,\n]\nb = """\n[x]\ny = 1\n"""\n[[r]]\nc = 1\n[r.s]\nd = 1\n[[r]]\nc.e = 2\n'
     report = Report("x")
-    assert read_toml(text, report) is not None
+    assert parse_toml(text, report) is not None
     expected: dict[KeyPath, int] = {
         ("a",): 1, ("b",): 5, ("r", 0): 9, ("r", 0, "c"): 10, ("r", 0, "s"): 11, ("r", 0, "s", "d"): 12,
         ("r", 1): 13, ("r", 1, "c"): 14, ("r", 1, "c", "e"): 14,
@@ -190,7 +189,7 @@
 
 def test_a_key_given_twice_is_found_at_its_second_line() -> None:
     report = Report("x")
-    assert read_json('{"a": {"b": 1,\n"b": 2}}', report) == {"a": {"b": 2}}
+    assert parse_json('{"a": {"b": 1,\n"b": 2}}', report) == {"a": {"b": 2}}
     assert [(f.code, f.line, f.key) for f in report.findings] == [("twice", 2, "a.b")]
 
 
@@ -213,7 +212,7 @@
         for _ in range(200):
             try:
                 assert len(set(read_bytes(str(path)))) == 1
-            except Unreadable as error:
+            except UnreadableFileError as error:
                 assert "changes while it is read" in str(error)
     finally:
         stop.set()
--- a/tests/config/test_units.py
+++ b/tests/config/test_units.py
@@ -6,13 +6,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from eiderhub.schema.units import parse_duration, parse_size, show_duration, show_size
+from eiderhub.schema.units import format_duration, format_size, parse_duration, parse_size
 
 
 @given(st.integers(1, 10**13))
 def test_what_is_shown_reads_back(amount: int) -> None:
-    assert parse_duration(show_duration(amount)) == amount
-    assert parse_size(show_size(amount)) == amount
+    assert parse_duration(format_duration(amount)) == amount
+    assert parse_size(format_size(amount)) == amount
 
 
 @pytest.mark.parametrize(
--- a/tests/config/test_write.py
+++ b/tests/config/test_write.py
@@ -15,7 +15,7 @@
 from eiderhub.config.check import check
 from eiderhub.config.command import main
 from eiderhub.config.write import attempts, outcome, window_us, write
-from eiderhub.schema.toml import toml_table, toml_value
+from eiderhub.schema.toml_writer import toml_table, toml_value
 from tests.config.serving import serve_through
 
 REPOSITORY = Path(__file__).parents[2]
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,9 +10,10 @@
 from hypothesis import settings
 
 from eiderhub.protocols.http1.client import Connection
-from eiderhub.schema.declared import VARIABLE
+from eiderhub.schema.declared_classes import DECLARED_CLASSES_VARIABLE
 
-os.environ[VARIABLE] = str(Path(__file__).parent / "corpus" / "declared.toml")  # programs that tests start have it too
+# Programs that tests start inherit it.
+os.environ[DECLARED_CLASSES_VARIABLE] = str(Path(__file__).parent / "corpus" / "declared.toml")
 
 settings.register_profile("fixed", derandomize=True, deadline=None, max_examples=60)
 settings.register_profile("long", deadline=None, max_examples=1_000)
--- a/tests/routing/reference.py
+++ b/tests/routing/reference.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from eiderhub.routing.table import PARAM, Route, condition_order
-from eiderhub.routing.target import Asked, query_values
+from eiderhub.routing.request_target import RequestAttributes, query_values
+from eiderhub.routing.table import ANY_SEGMENT, Route, condition_order
 
 
-def matches(route: Route, asked: Asked) -> bool:
+def matches(route: Route, asked: RequestAttributes) -> bool:
     parts = [part.lower() for part in asked.segments]
     pattern = route.pattern
-    if len(parts) < len(pattern.parts) or (len(parts) > len(pattern.parts) and not pattern.prefix):
+    if len(parts) < len(pattern.segments) or (len(parts) > len(pattern.segments) and not pattern.is_prefix):
         return False
-    if any(want not in (PARAM, have) for want, have in zip(pattern.parts, parts, strict=False)):
+    if any(want not in (ANY_SEGMENT, have) for want, have in zip(pattern.segments, parts, strict=False)):
         return False
     if route.methods and asked.method not in route.methods:
         return False
@@ -25,14 +25,16 @@
     return all(given.get(name) == value for name, value in route.query)
 
 
-def rank(route: Route, asked: Asked) -> tuple[object, ...]:
+def rank(route: Route, asked: RequestAttributes) -> tuple[object, ...]:
     """The stated order as a sort key among routes that match this request."""
-    path = tuple(int(part == PARAM) for part in route.pattern.parts) + ((2,) if route.pattern.prefix else ())
+    path = tuple(int(part == ANY_SEGMENT) for part in route.pattern.segments) + (
+        (2,) if route.pattern.is_prefix else ()
+    )
     conditions = sorted(route.conditions(), key=condition_order)
     if route.methods:
         conditions = sorted([*conditions, ("method",)], key=condition_order)
     return path, -len(conditions), [condition_order(c) for c in conditions]
 
 
-def find(routes: list[Route], asked: Asked) -> Route | None:
+def find(routes: list[Route], asked: RequestAttributes) -> Route | None:
     return min((r for r in routes if matches(r, asked)), key=lambda r: rank(r, asked), default=None)
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -10,9 +10,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from eiderhub.routing.conflicts import claims, find_conflicts, unreachable
-from eiderhub.routing.table import Pattern, Route, Table, TableError, read_pattern
-from eiderhub.routing.target import Asked, Refused
+from eiderhub.routing.conflicts import find_conflicts, request_sets, unreachable
+from eiderhub.routing.request_target import InvalidTargetError, RequestAttributes
+from eiderhub.routing.table import Pattern, Route, RouteTable, TableError, parse_pattern
 from tests.routing import reference
 
 PARTS = (b"a", b"b", b"{}")
@@ -22,7 +22,7 @@
 routes = st.builds(
     Route,
     name=st.just(""),
-    grade=st.sampled_from(["one", "two"]),
+    class_name=st.sampled_from(["one", "two"]),
     pattern=patterns,
     methods=st.sampled_from([frozenset(), frozenset(("GET",)), frozenset(("GET", "POST"))]),
     protocol=maybe,
@@ -48,11 +48,11 @@
 
 
 @st.composite
-def requests(draw: st.DrawFn) -> Asked:
+def requests(draw: st.DrawFn) -> RequestAttributes:
     headers = {name: draw(st.sampled_from([b"x", b"y"])) for name in draw(st.sets(st.sampled_from([b"k", b"m"])))}
     names = draw(st.sets(st.sampled_from(["k", "m"])))
     query = "&".join(f"{name}={draw(st.sampled_from(['x', 'y']))}" for name in sorted(names))
-    return Asked(
+    return RequestAttributes(
         draw(st.sampled_from(["x", "http"])),
         draw(st.sampled_from(["GET", "POST"])),
         draw(st.lists(st.sampled_from([b"a", b"b", b"A", b"c"]), max_size=4).map(tuple)),
@@ -65,37 +65,37 @@
 
 
 @given(tables(), st.lists(requests(), min_size=1, max_size=8))
-def test_the_table_answers_as_the_obvious_matcher(table: list[Route], asked: list[Asked]) -> None:
-    compiled = Table(table)
+def test_the_table_answers_as_the_obvious_matcher(table: list[Route], asked: list[RequestAttributes]) -> None:
+    compiled = RouteTable(table)
     for request in asked:
         assert compiled.find(request) is reference.find(table, request)
 
 
 @given(tables(), requests(), st.randoms(use_true_random=False))
-def test_places_in_the_file_decide_nothing(table: list[Route], asked: Asked, chance: random.Random) -> None:
-    before = Table(table).find(asked)
+def test_places_in_the_file_decide_nothing(table: list[Route], asked: RequestAttributes, chance: random.Random) -> None:
+    before = RouteTable(table).find(asked)
     chance.shuffle(table)
-    assert Table(table).find(asked) is before
+    assert RouteTable(table).find(asked) is before
 
 
 @given(tables(), requests())
-def test_without_conflicts_the_winner_is_the_narrowest(table: list[Route], asked: Asked) -> None:
+def test_without_conflicts_the_winner_is_the_narrowest(table: list[Route], asked: RequestAttributes) -> None:
     """Where the checker finds nothing, all that match beside the winner are wider, or do the same."""
     if find_conflicts(table):
         return
-    winner = Table(table).find(asked)
+    winner = RouteTable(table).find(asked)
     for other in table:
         if winner is not None and reference.matches(other, asked) and other is not winner:
             narrower = any(
-                (meeting := mine.meet(theirs)) is not None and meeting == mine
-                for mine in claims(winner)
-                for theirs in claims(other)
+                (meeting := mine.intersect(theirs)) is not None and meeting == mine
+                for mine in request_sets(winner)
+                for theirs in request_sets(other)
             )
             assert narrower or other.outcome() == winner.outcome()
 
 
-def route(name: str, path: str, grade: str = "one", **conditions: object) -> Route:
-    return Route(name, grade, read_pattern(path), **conditions)  # type: ignore[arg-type]
+def route(name: str, path: str, class_name: str = "one", **conditions: object) -> Route:
+    return Route(name, class_name, parse_pattern(path), **conditions)  # type: ignore[arg-type]
 
 
 def test_most_specific_wins() -> None:
@@ -107,32 +107,32 @@
         route("prefix", "/a/*"),
         route("all", "/*"),
     ]
-    asked = Asked("http", "GET", (b"a", b"b"), tenant="t")
+    asked = RequestAttributes("http", "GET", (b"a", b"b"), tenant="t")
     for order in permutations(narrowest_first):
         left = list(order)
         for expected in narrowest_first:
-            assert Table(left).find(asked) is expected
+            assert RouteTable(left).find(asked) is expected
             left.remove(expected)
 
 
 def test_a_branch_that_fails_on_conditions_is_left_for_the_wider_one() -> None:
     wide = route("wide", "/a/*")
-    table = Table([route("narrow", "/a/b/c", tenant="t"), route("template", "/a/{x}/d"), wide])
-    assert table.find(Asked("http", "GET", (b"a", b"b", b"c"), tenant="u")) is wide
+    table = RouteTable([route("narrow", "/a/b/c", tenant="t"), route("template", "/a/{x}/d"), wide])
+    assert table.find(RequestAttributes("http", "GET", (b"a", b"b", b"c"), tenant="u")) is wide
 
 
 def test_a_header_or_query_value_given_twice_is_refused_where_a_route_asks_for_it() -> None:
-    table = Table([route("q", "/a", query=(("kind", "slow"),))])
-    with pytest.raises(Refused, match="kind"):
-        table.find(Asked("http", "GET", (b"a",), query=b"kind=slow&kind=fast"))
-    with pytest.raises(Refused, match="kind"):
-        table.find(Asked("http", "GET", (b"a",), query=b"kind=slow&k%69nd=fast"))
-    assert table.find(Asked("http", "GET", (b"a",), query=b"other=1&other=2&kind=slow")) is not None
+    table = RouteTable([route("q", "/a", query=(("kind", "slow"),))])
+    with pytest.raises(InvalidTargetError, match="kind"):
+        table.find(RequestAttributes("http", "GET", (b"a",), query=b"kind=slow&kind=fast"))
+    with pytest.raises(InvalidTargetError, match="kind"):
+        table.find(RequestAttributes("http", "GET", (b"a",), query=b"kind=slow&k%69nd=fast"))
+    assert table.find(RequestAttributes("http", "GET", (b"a",), query=b"other=1&other=2&kind=slow")) is not None
 
 
 def test_two_routes_that_ask_the_same_make_no_table() -> None:
     with pytest.raises(TableError, match="'one' and 'two' ask the same"):
-        Table([route("one", "/a/{x}"), route("two", "/A/{y}/")])
+        RouteTable([route("one", "/a/{x}"), route("two", "/A/{y}/")])
 
 
 @pytest.mark.parametrize(
@@ -140,7 +140,7 @@
 )
 def test_patterns_that_no_request_could_meet_are_refused(text: str) -> None:
     with pytest.raises(ValueError, match=r"/|no path"):
-        read_pattern(text)
+        parse_pattern(text)
 
 
 @pytest.mark.parametrize(
--- a/tests/routing/test_target.py
+++ b/tests/routing/test_target.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from eiderhub.routing.target import Refused, segments_of
+from eiderhub.routing.request_target import InvalidTargetError, segments_of
 
 
 @pytest.mark.parametrize(
@@ -42,7 +42,7 @@
     ],
 )  # fmt: skip
 def test_what_can_be_read_in_two_ways_is_refused(path: bytes) -> None:
-    with pytest.raises(Refused):
+    with pytest.raises(InvalidTargetError):
         segments_of(path)
 
 
@@ -55,7 +55,7 @@
     path = b"/" + b"".join(pieces)
     try:
         segments = segments_of(path)
-    except Refused:
+    except InvalidTargetError:
         return
     for decoded in (unquote_to_bytes(path), unquote_to_bytes(unquote_to_bytes(path))):
         resolved = posixpath.normpath(decoded).strip(b"/")
--- a/tests/test_smuggling.py
+++ b/tests/test_smuggling.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from eiderhub.routing.compile import PoolRule, plan
-from eiderhub.routing.table import Route, read_pattern
+from eiderhub.routing.plan_compiler import PoolRule, compile_plan
+from eiderhub.routing.table import Route, parse_pattern
 from eiderhub.settings import parse_settings
 from tests.sidecar_support import SETUP, Sidecar, run
 
@@ -81,12 +81,12 @@
 
 
 SETTINGS = parse_settings(SETUP)
-PLAN = plan(
+PLAN = compile_plan(
     SETTINGS,
     [
-        Route("stock", "look", read_pattern("/stock/{id}"), pool="first", deadline_us=300_000),
-        Route("slow", "look", read_pattern("/stock/{id}"), headers=(("x-kind", "slow"),), attempts=1),
-        Route("cart", "pay", read_pattern("/cart/*"), methods=frozenset(("POST",))),
+        Route("stock", "look", parse_pattern("/stock/{id}"), pool="first", deadline_us=300_000),
+        Route("slow", "look", parse_pattern("/stock/{id}"), headers=(("x-kind", "slow"),), attempts=1),
+        Route("cart", "pay", parse_pattern("/cart/*"), methods=frozenset(("POST",))),
     ],
     {"first": PoolRule("first", zones=frozenset(("z",)))},
 )
@@ -124,7 +124,7 @@
 
 
 def test_the_deadline_of_a_route_reaches_the_endpoint() -> None:
-    tight = plan(SETTINGS, [Route("stock", "look", read_pattern("/stock/*"), deadline_us=300_000)], {})
+    tight = compile_plan(SETTINGS, [Route("stock", "look", parse_pattern("/stock/*"), deadline_us=300_000)], {})
 
     async def test() -> None:
         async with Sidecar(plan=tight) as sidecar:
@@ -143,7 +143,7 @@
             old, new = await sidecar.client(), await sidecar.client()
             old.writer.write((POST.replace("/pay/a", "/cart/a") + "\r\nx").encode())
             asked = await sidecar.next()
-            changed = plan(SETTINGS, [Route("cart", "look", read_pattern("/cart/*"), attempts=2)], {})
+            changed = compile_plan(SETTINGS, [Route("cart", "look", parse_pattern("/cart/*"), attempts=2)], {})
             sidecar.host.reload(replace(sidecar.config, plan=changed))
             new.writer.write(at("/cart/b").replace("Req-Id: 1", "Req-Id: 2").encode())
             other = await sidecar.next()
--- a/tests/thrift/test_libraries.py
+++ b/tests/thrift/test_libraries.py
@@ -28,7 +28,7 @@
 from eiderhub.protocols.thrift.answers import LOAD_SHEDDING
 from eiderhub.protocols.thrift.plan import Options
 from eiderhub.protocols.thrift.wire import Encoding, T
-from eiderhub.routing.compile import plan
+from eiderhub.routing.plan_compiler import compile_plan
 from eiderhub.routing.table import Route
 from eiderhub.settings import parse_settings
 from tests.sidecar_support import SETUP, FakeServer, Sidecar, run
@@ -120,7 +120,7 @@
                 return self
 
         options = Options("127.0.0.1", 0, encoding=endpoint, tenant="acme", fields=fields)
-        routes = plan(parse_settings(SETUP), [Route("notes", "pay", protocol="thrift", call="note")], {})
+        routes = compile_plan(parse_settings(SETUP), [Route("notes", "pay", protocol="thrift", call="note")], {})
         async with Sidecar(thrift=options, fake=Elsewhere, plan=routes) as sidecar:
             await asyncio.to_thread(talk, sidecar.thrift_port, caller, handler)
 
