--- a/eiderhub/sidecar/host.py
+++ b/eiderhub/sidecar/host.py
@@ -18,7 +18,7 @@
 from eiderhub.membership.endpoint_list import ListedEndpoint
 from eiderhub.membership.poll_schedule import MIN_GRACE_US, PollSchedule
 from eiderhub.membership.watch_suspicion import WatchSuspicion
-from eiderhub.routing.plan import plain
+from eiderhub.routing.plan import default_plan
 from eiderhub.sidecar.clock import Timer, now_us
 from eiderhub.sidecar.config import Config
 from eiderhub.sidecar.discovery import Watcher
@@ -75,7 +75,7 @@
     """Implements the decision module's `Actions` and calls its `Events`."""
 
     def __init__(self, config: Config) -> None:
-        self.plan = config.plan or plain(config.settings)
+        self.plan = config.plan or default_plan(config.settings)
         settings = self.plan.settings
         self.settings = settings
         self.max_deadline_s = max(c.deadline_us for c in settings.classes) / 1e6
@@ -154,7 +154,7 @@
         Requests in flight keep the class that they were accepted with. The decision module is updated first, so that
         nothing has changed if it fails.
         """
-        plan = config.plan or plain(config.settings)
+        plan = config.plan or default_plan(config.settings)
         if plan.variants or self.plan.variants:
             self.balancer.adopt(now_us(), plan.variants)
         self.plan = plan
--- a/eiderhub/sidecar/options.py
+++ b/eiderhub/sidecar/options.py
@@ -6,15 +6,15 @@
 from ipaddress import ip_address
 from typing import Any
 
-from eiderhub.schema.findings import Spot
-from eiderhub.schema.kinds import Choice, Key, Kind, Number, Table
-from eiderhub.schema.pair import Pair
-from eiderhub.schema.units import show_duration
+from eiderhub.schema.file_pair import FilePair
+from eiderhub.schema.findings import Location
+from eiderhub.schema.units import format_duration
+from eiderhub.schema.value_types import Choice, Key, Number, Table, ValueType
 from eiderhub.sidecar.resource_limits import MIN_SOCKETS, ResourceLimits
 
 ANY, LOOPBACK = "any", "loopback"
 
-TABLES: dict[str, Kind] = {
+TABLES: dict[str, ValueType] = {
     "limits": Table(
         (
             Key("listen", Choice((ANY, LOOPBACK)), "which addresses the sidecar may listen on", ANY),
@@ -29,7 +29,7 @@
 }
 
 
-def check(pair: Pair) -> None:
+def check(pair: FilePair) -> None:
     """Report findings on the listen address and on the descriptors for the expected rate."""
     limits: dict[str, Any] = pair.tables.get("limits", {})
     spot = pair.operator / "limits"
@@ -40,7 +40,7 @@
         _check_rate(pair.document.get("limits") or {}, objectives_us, limits["rate"], spot / "rate")
 
 
-def _check_listen(listen: str | None, spot: Spot) -> None:
+def _check_listen(listen: str | None, spot: Location) -> None:
     if listen is None:
         return
     host = listen.rpartition(":")[0].strip("[]")
@@ -53,7 +53,7 @@
         )
 
 
-def _check_rate(limits: dict[str, Any], objectives_us: list[int], rate: float, spot: Spot) -> None:
+def _check_rate(limits: dict[str, Any], objectives_us: list[int], rate: float, spot: Location) -> None:
     """Report a finding if the descriptors do not suffice for the expected rate.
 
     Each request is assumed to be open for the longest latency objective.
@@ -67,7 +67,7 @@
     if needed > max_connections:
         spot.error(
             "descriptors",
-            f"{rate:g} requests a second, open for up to {show_duration(max(objectives_us))}, need {needed} "
+            f"{rate:g} requests a second, open for up to {format_duration(max(objectives_us))}, need {needed} "
             f"connections on each side; {sockets} descriptors allow {max_connections}",
             "Callers would be disconnected at the expected rate",
             "Allow more descriptors, or run more sidecars",
