--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -23,7 +23,7 @@
 import uvloop
 
 from benchmarks.proxy import Subject
-from eiderhub.config.write import outcome
+from eiderhub.config.write import generate
 from standins.consul import Consul, instance
 from standins.endpoint import Behaviour, Endpoint, Ledger
 from standins.http import answer, read_message, request
@@ -55,7 +55,7 @@
     with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
         file.write(DESCRIPTION)
         file.flush()
-        found: dict[str, Any] = json.loads(outcome(file.name).files["bench/sidecar.json"])
+        found: dict[str, Any] = json.loads(generate(file.name).files["bench/sidecar.json"])
     return found
 
 
--- a/benchmarks/proxy.py
+++ b/benchmarks/proxy.py
@@ -29,7 +29,7 @@
 
 import uvloop
 
-from eiderhub.config.write import outcome
+from eiderhub.config.write import generate
 from standins.discovery import row
 from standins.program import free_address, running, wait_ready
 
@@ -176,7 +176,7 @@
     with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
         file.write(DESCRIPTION)
         file.flush()
-        made = outcome(file.name)
+        made = generate(file.name)
     document: dict[str, object] = json.loads(made.files["bench/sidecar.json"])
     known = [row(f"s-{i}", address) for i in range(4)]  # one server under four ids: pools as in service
     return {**document, "known": {"generation": 1, "reset": True, "instances": known}}
--- a/benchmarks/thrift.py
+++ b/benchmarks/thrift.py
@@ -24,7 +24,7 @@
 import uvloop
 
 from benchmarks.proxy import Subject, relay
-from eiderhub.config.write import outcome
+from eiderhub.config.write import generate
 from eiderhub.protocols.thrift import binary, messages
 from eiderhub.protocols.thrift.convert import convert, with_seqid
 from eiderhub.protocols.thrift.definitions import Encoding, MessageType, TType
@@ -235,7 +235,7 @@
     with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
         file.write(DESCRIPTION)
         file.flush()
-        made = outcome(file.name)
+        made = generate(file.name)
     found: dict[str, Any] = json.loads(made.files["bench/sidecar.json"])
     known = []
     for i in range(4):
--- a/eiderhub/config/check.py
+++ b/eiderhub/config/check.py
@@ -7,19 +7,19 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from eiderhub.config import describe
-from eiderhub.config.across import across
-from eiderhub.config.load import Examined, Source, examine
-from eiderhub.config.write import outcome
+from eiderhub.config import description
+from eiderhub.config.consistency import check_consistency
+from eiderhub.config.load import ExaminedFiles, SourceFile, examine
+from eiderhub.config.write import generate
 from eiderhub.schema.files import UnreadableFileError, decode_text, parse_toml, read_bytes
 from eiderhub.schema.findings import Finding, Location, Report, Severity, sort_findings
 
-MOST_FILES = 10_000  # of one call: a fleet of a thousand applications has two each
+MAX_FILES = 10_000  # of one call: a fleet of a thousand applications has two each
 SUFFIXES = (".json", ".toml")
 PLATFORM_FILE = "balancer.toml"  # how the platform builds and runs the program: no configuration of a sidecar
 
 
-class Unit(NamedTuple):
+class FileGroup(NamedTuple):
     """What is checked together: one sidecar's file, one operator's file, or both."""
 
     sidecar: str | None
@@ -27,10 +27,10 @@
 
 
 @dataclass
-class Result:
+class CheckResult:
     findings: list[Finding] = field(default_factory=list)
     unreadable: list[str] = field(default_factory=list)
-    examined: list[Examined] = field(default_factory=list)
+    examined: list[ExaminedFiles] = field(default_factory=list)
     files: int = 0
 
     @property
@@ -41,59 +41,59 @@
         return int(any(f.severity is Severity.ERROR for f in self.findings))
 
 
-def check(paths: Sequence[str]) -> Result:
+def check(paths: Sequence[str]) -> CheckResult:
     """Check everything that these paths name. Never raises for what a file holds."""
-    result = Result()
-    files = list(_files(paths, result))
+    result = CheckResult()
+    files = list(_find_files(paths, result))
     result.files = len(files)
     descriptions = [path for path in files if path.endswith(".toml") and _is_description(path)]
     for path in descriptions:
         try:
-            result.findings += outcome(path).findings
+            result.findings += generate(path).findings
         except UnreadableFileError as error:  # it was there a moment ago; what else was found still counts
             result.unreadable.append(str(error))
-    for unit in units([path for path in files if path not in descriptions]):
+    for group in group_files([path for path in files if path not in descriptions]):
         try:
-            examined = examine(Source.of(unit.sidecar), Source.of(unit.operator))
+            examined = examine(SourceFile.read(group.sidecar), SourceFile.read(group.operator))
         except UnreadableFileError as error:
             result.unreadable.append(str(error))
             continue
         result.examined.append(examined)
-    across(result.examined)
+    check_consistency(result.examined)
     for examined in result.examined:
         result.findings += examined.findings
     result.findings = sort_findings(result.findings)
     return result
 
 
-def _files(paths: Sequence[str], result: Result) -> Iterator[str]:
+def _find_files(paths: Sequence[str], result: CheckResult) -> Iterator[str]:
     """All files that are meant, each once: what is named, and what lies in folders that are named."""
     seen: set[str] = set()
     for path in paths:
-        found = list(_below(path)) if os.path.isdir(path) else [path]
+        found = list(_files_below(path)) if os.path.isdir(path) else [path]
         if not found:
             result.unreadable.append(f"{path}: no .json or .toml file in this folder")
         for file in found:
-            if len(seen) >= MOST_FILES:
-                result.unreadable.append(f"{path}: over {MOST_FILES} files")
+            if len(seen) >= MAX_FILES:
+                result.unreadable.append(f"{path}: over {MAX_FILES} files")
                 return
             if file not in seen:
                 seen.add(file)
                 if not file.endswith(SUFFIXES):
                     result.unreadable.append(f"{file}: neither .json nor .toml")
-                elif _readable(file, result):
+                elif _is_readable(file, result):
                     yield file
 
 
-def _below(folder: str) -> Iterator[str]:
-    for place, folders, names in os.walk(folder):
+def _files_below(folder: str) -> Iterator[str]:
+    for parent, folders, names in os.walk(folder):
         folders.sort()
         for name in sorted(names):
             if name.endswith(SUFFIXES) and name != PLATFORM_FILE:
-                yield os.path.join(place, name)
+                yield os.path.join(parent, name)
 
 
-def _readable(path: str, result: Result) -> bool:
+def _is_readable(path: str, result: CheckResult) -> bool:
     try:
         read_bytes(path)
     except UnreadableFileError as error:
@@ -110,10 +110,10 @@
     except UnreadableFileError:
         return False
     document = parse_toml(text, report) if text is not None else None
-    return document is not None and describe.is_description(document)
+    return document is not None and description.is_description(document)
 
 
-def units(files: Iterable[str]) -> list[Unit]:
+def group_files(files: Iterable[str]) -> list[FileGroup]:
     """Which files belong together: in one folder those of one stem, `sidecar` and `operator`, or the only two.
 
     Two files named alone from different folders belong together too, where there is one of each.
@@ -126,13 +126,13 @@
         by_folder = {"": files}
     found = []
     for group in by_folder.values():
-        own = {_stem(path): path for path in group if path.endswith(".json")}
-        theirs = {_stem(path): path for path in group if path.endswith(".toml")}
-        if len(own) == len(theirs) == 1:
-            found.append(Unit(*own.values(), *theirs.values()))
+        json_by_stem = {_stem(path): path for path in group if path.endswith(".json")}
+        toml_by_stem = {_stem(path): path for path in group if path.endswith(".toml")}
+        if len(json_by_stem) == len(toml_by_stem) == 1:
+            found.append(FileGroup(*json_by_stem.values(), *toml_by_stem.values()))
             continue
-        for stem in sorted(own.keys() | theirs.keys()):
-            found.append(Unit(own.get(stem), theirs.get(stem)))
+        for stem in sorted(json_by_stem.keys() | toml_by_stem.keys()):
+            found.append(FileGroup(json_by_stem.get(stem), toml_by_stem.get(stem)))
     return found
 
 
--- a/eiderhub/config/describe.py
+++ b/eiderhub/config/description.py
@@ -5,7 +5,7 @@
 import copy
 from typing import Any
 
-from eiderhub.config.sidecar_file import PART, Address
+from eiderhub.config.sidecar_file import FRACTION, Address
 from eiderhub.protocols.thrift.options import TABLES as THRIFT_TABLES
 from eiderhub.routing.options import EFFECT_BY_REPEAT
 from eiderhub.routing.options import TABLES as ROUTING_TABLES
@@ -30,19 +30,19 @@
     Text,
 )
 
-TIME = Duration(1, HOUR_US)
+POSITIVE_DURATION = Duration(1, HOUR_US)
 NAMES = OneOrMore(Text(r"[^\x00-\x1f]{1,128}", "a name"), 1000)
 APPLICATIONS = "application"  # the rows of a fleet's file
 
 CLASS = Table(
     (
-        Key("wanted", TIME, "answers count in full within this time"),
-        Key("give_up", TIME, "the client gives up after this time"),
+        Key("wanted", POSITIVE_DURATION, "answers count in full within this time"),
+        Key("give_up", POSITIVE_DURATION, "the client gives up after this time"),
         Key("repeat", Choice(tuple(EFFECT_BY_REPEAT)), "what a repeat does"),
-        Key("remembered", TIME, "how long endpoints drop a repeated key; for keyed classes", None),
+        Key("remembered", POSITIVE_DURATION, "how long endpoints drop a repeated key; for keyed classes", None),
         Key("dropped_by", Choice(("all", "zone", "cell")), "which endpoints drop it", "all"),
         Key("worth", Number(0, 1e6), "what a request is worth", 1.0),
-        Key("late", PART, "share of the worth that an answer after the wanted time earns", 0.0),
+        Key("late", FRACTION, "share of the worth that an answer after the wanted time earns", 0.0),
         Key("aliases", NAMES, "further first parts that mean the class", ()),
     )
 )
@@ -77,11 +77,11 @@
         Key("zones", NAMES, "all zones", None),
         Key("kinds", NAMES, "all kinds of machine", None),
         Key("rate", Number(0, 1e9, "requests a second"), "requests a second into the tier, from all sidecars"),
-        Key("over_share", PART, "worth of a request over its tenant's share", 0.1),
+        Key("over_share", FRACTION, "worth of a request over its tenant's share", 0.1),
         Key("machine", MACHINE, "the machine of the sidecar", MACHINE.read({}, Location(Report("")))),
         Key("servers", SERVERS, "what the servers bear", SERVERS.read({}, Location(Report("")))),
         Key("classes", MapOf(CLASS, r"[^\x00-\x1f]{1,128}"), "the classes of requests"),
-        Key("tenants", MapOf(PART, r"[^\x00-\x1f]{1,128}"), "tenants and their shares", {}),
+        Key("tenants", MapOf(FRACTION, r"[^\x00-\x1f]{1,128}"), "tenants and their shares", {}),
         Key("clients_wait", Duration(0, HOUR_US), "the longest Retry-After that clients obey; 0: they obey none",
             1_000_000),
         Key("default", Choice(("first-part", "refuse")), "what becomes of a request that no route takes", "first-part"),
@@ -111,7 +111,7 @@
         return str(self.table["name"])
 
 
-def read(path: str) -> tuple[list[Application], Report]:
+def read_description(path: str) -> tuple[list[Application], Report]:
     """The applications that a file describes, with findings.
 
     Raises `UnreadableFileError` where it can't be read at all.
@@ -123,17 +123,17 @@
         return [], report
     location = Location(report)
     found = []
-    for raw, place in _rows(document, location):
-        table = APPLICATION.read(raw, place)
+    for raw, table_location in _application_tables(document, location):
+        table = APPLICATION.read(raw, table_location)
         if table is not INVALID:
-            found.append(Application(table, raw, place))
+            found.append(Application(table, raw, table_location))
     _check_names(found)
     for application in found:
         _check(application)
     return found, report
 
 
-def _rows(document: dict[str, Any], location: Location) -> list[tuple[dict[str, Any], Location]]:
+def _application_tables(document: dict[str, Any], location: Location) -> list[tuple[dict[str, Any], Location]]:
     """Each application's own table: in a fleet's file what stands above the rows holds for all of them."""
     if APPLICATIONS not in document:
         return [(document, location)]
@@ -190,18 +190,18 @@
             "Give discovery, or endpoints",
         )  # fmt: skip
     for name, row in table["classes"].items():
-        place = location / "classes" / name
+        table_location = location / "classes" / name
         if row["repeat"] == "keyed" and not row["remembered"]:
-            (place / "remembered").error(
+            (table_location / "remembered").error(
                 "missing", "a keyed class needs it", "No repeat could ever be sent", "Say how long a key is remembered"
             )
         elif row["repeat"] != "keyed" and row["remembered"]:
-            (place / "remembered").error(
+            (table_location / "remembered").error(
                 "unused", f"the class is {row['repeat']!r}, and carries no key", "It would do nothing",
                 'Leave it out, or write repeat = "keyed"',
             )  # fmt: skip
         elif row["remembered"] and row["remembered"] <= table["servers"]["connect"]:
-            (place / "remembered").error(
+            (table_location / "remembered").error(
                 "window",
                 f"{format_duration(row['remembered'])} is not more than the time to connect, "
                 f"{format_duration(table['servers']['connect'])}",
--- a/eiderhub/config/explain.py
+++ b/eiderhub/config/explain.py
@@ -12,63 +12,65 @@
 from eiderhub.schema.units import format_duration, format_size
 from eiderhub.sidecar.config import Address, Config, needs_restart
 
-HERE, OTHER_CELL = ("z", 0), ("y", 1)  # two places, for asking the rules what holds for each
+FIRST_CELL, OTHER_CELL = ("z", 0), ("y", 1)  # two places, for asking the rules what holds for each
 
 
-class Explained(NamedTuple):
+class Explanation(NamedTuple):
     route: str  # its name, or how the default took it
     request_class: RequestClass | None
     refusal: str  # why nothing takes it; "" where something does
 
 
-def explain(plan: Plan, request: RequestAttributes, path: bytes) -> Explained:
+def explain(plan: Plan, request: RequestAttributes, path: bytes) -> Explanation:
     """Which route takes a request, by the same look-up as in service."""
     try:
         request.segments = segments_of(path) if request.protocol == "http" else (path[1:],)
         request_class = plan.class_of(request)
         route = plan.table.find(request) if plan.table else None
     except InvalidTargetError as refused:
-        return Explained("", None, f"400: the target has {refused}")
+        return Explanation("", None, f"400: the target has {refused}")
     if request_class is None and request.protocol != "http":
-        return Explained("", None, "exception 1: no route takes it, and its method names no class")
+        return Explanation("", None, "exception 1: no route takes it, and its method names no class")
     if request_class is None:
-        return Explained("", None, "404: no route takes it, and its first part names no class")
+        return Explanation("", None, "404: no route takes it, and its first part names no class")
     if request.protocol == "http" and request.method != METHOD[request_class.effect]:
-        return Explained(
+        return Explanation(
             route.name if route else "", request_class, f"405: its class takes {METHOD[request_class.effect]} alone"
         )
     default = "the first part of the path" if request.protocol == "http" else "the method's name is its class"
-    return Explained(route.name if route else f"the default: {default}", request_class, "")
+    return Explanation(route.name if route else f"the default: {default}", request_class, "")
 
 
-def may_do(request_class: RequestClass, settings: Settings) -> dict[str, str]:
+def permitted_actions(request_class: RequestClass, settings: Settings) -> dict[str, str]:
     """What the sidecar may do once an attempt has ended, as the module's own rules say it."""
-    tries = min(MAX_ATTEMPTS if settings.layer == 0 else MAX_ATTEMPTS_INNER, settings.limits.max_attempts)
-    tries = min(tries, request_class.max_attempts or tries)
-    ran = _after(request_class, True, tries)
+    attempt_limit = min(MAX_ATTEMPTS if settings.layer == 0 else MAX_ATTEMPTS_INNER, settings.limits.max_attempts)
+    attempt_limit = min(attempt_limit, request_class.max_attempts or attempt_limit)
+    after_execution = _action_after_attempt(request_class, True, attempt_limit)
     return {
-        "after a reset or a time-out (it may have run)": ran,
-        "after an error (it may have run)": ran,
-        "after being turned away or not connecting (it never ran)": _after(request_class, False, tries),
+        "after a reset or a time-out (it may have run)": after_execution,
+        "after an error (it may have run)": after_execution,
+        "after being turned away or not connecting (it never ran)": _action_after_attempt(
+            request_class, False, attempt_limit
+        ),
     }
 
 
-def _after(request_class: RequestClass, ran: bool, tries: int) -> str:
-    first = (0, *HERE) if ran else None
+def _action_after_attempt(request_class: RequestClass, may_have_run: bool, attempt_limit: int) -> str:
+    first = (0, *FIRST_CELL) if may_have_run else None
     window = request_class.dedup_window_us
-    here = may_resend(request_class.effect, request_class.dedup_scope, window, first, 0, HERE)
-    elsewhere = may_resend(request_class.effect, request_class.dedup_scope, window, first, 0, OTHER_CELL)
-    for_good = may_resend(request_class.effect, request_class.dedup_scope, window, first, window + 1, HERE)
+    same_endpoint = may_resend(request_class.effect, request_class.dedup_scope, window, first, 0, FIRST_CELL)
+    other_cell = may_resend(request_class.effect, request_class.dedup_scope, window, first, 0, OTHER_CELL)
+    after_window = may_resend(request_class.effect, request_class.dedup_scope, window, first, window + 1, FIRST_CELL)
     answer = (
         "refuse (503)"
-        if may_refuse(request_class.effect, request_class.dedup_scope, ran)
+        if may_refuse(request_class.effect, request_class.dedup_scope, may_have_run)
         else "fail (502 or 504), promising nothing"
     )
-    if not here or tries == 1:
+    if not same_endpoint or attempt_limit == 1:
         return f"never send it again; {answer}"
-    where = "to any endpoint" if elsewhere else f"within its {request_class.dedup_scope.value} alone"
-    until = "" if for_good else f" for {format_duration(window)} after the first attempt"
-    return f"send it again {where}{until}, {tries} attempts in all; then {answer}"
+    where = "to any endpoint" if other_cell else f"within its {request_class.dedup_scope.value} alone"
+    until = "" if after_window else f" for {format_duration(window)} after the first attempt"
+    return f"send it again {where}{until}, {attempt_limit} attempts in all; then {answer}"
 
 
 def describe_pool(request_class: RequestClass) -> str:
@@ -96,7 +98,7 @@
     return f"{address.host}:{address.port}" if address else ""
 
 
-def facts(config: Config) -> list[Fact]:
+def list_facts(config: Config) -> list[Fact]:
     """All that a configuration does, in the terms of `explain`."""
     plan = config.plan
     assert plan is not None  # an examined configuration has one
@@ -120,22 +122,22 @@
     for name, default in plan.classes_by_first_segment.items():
         spelt = name.decode("utf-8")
         found.append(Fact(f"/{spelt}/...", "is of the class", default.variant_of or default.name, False))
-        found += _narrowed(f"/{spelt}/...", default, settings)
+        found += _narrowed_facts(f"/{spelt}/...", default, settings)
     for route in plan.table.routes if plan.table else ():
         request_class = plan.classes_by_route[route.name]
         subject = f"route {route.name}"
-        asks = ", ".join(f"{' '.join(c)} = {v}" for c, v in sorted(route.conditions().items()))
+        conditions = ", ".join(f"{' '.join(c)} = {v}" for c, v in sorted(route.conditions().items()))
         methods = "/".join(sorted(route.methods))
-        found.append(Fact(subject, "takes", f"{methods or 'any method'} {route.pattern} {asks}".strip(), False))
+        found.append(Fact(subject, "takes", f"{methods or 'any method'} {route.pattern} {conditions}".strip(), False))
         found.append(Fact(subject, "gives the class", route.class_name, False))
-        found += _narrowed(subject, request_class, settings)
+        found += _narrowed_facts(subject, request_class, settings)
     return found
 
 
 def _thrift_facts(options: Any) -> list[Fact]:
     encoding = options.endpoint_encoding.name.lower() if options.endpoint_encoding is not None else "the caller's"
     time = format_duration(options.default_deadline_us) if options.default_deadline_us else "the class's"
-    told = {
+    values = {
         "listens on": f"{options.host}:{options.port}",
         "speaks to endpoints in": f"what they state, else {encoding}" if options.encoding_from_labels else encoding,
         "takes frames up to": format_size(options.max_frame_bytes),
@@ -147,8 +149,8 @@
         "takes for turned away unrun the exceptions": ", ".join(map(str, sorted(options.shed_exception_types)))
         or "none",
     }
-    told.update({f"reads {name} at": ".".join(map(str, path)) for name, path in sorted(options.field_paths.items())})
-    return [Fact("the Thrift port", what, value, True) for what, value in told.items()]
+    values.update({f"reads {name} at": ".".join(map(str, path)) for name, path in sorted(options.field_paths.items())})
+    return [Fact("the Thrift port", what, value, True) for what, value in values.items()]
 
 
 def _class_facts(request_class: RequestClass, settings: Settings) -> list[Fact]:
@@ -158,16 +160,20 @@
         Fact(subject, "is given up after", format_duration(request_class.deadline_us), True),
         Fact(subject, "is worth", f"{request_class.worth:g}, {request_class.late_worth_share:g} of it when late", True),
     ]
-    return found + [Fact(subject, what, value, True) for what, value in may_do(request_class, settings).items()]
+    return found + [
+        Fact(subject, what, value, True) for what, value in permitted_actions(request_class, settings).items()
+    ]
 
 
-def _narrowed(subject: str, request_class: RequestClass, settings: Settings) -> list[Fact]:
+def _narrowed_facts(subject: str, request_class: RequestClass, settings: Settings) -> list[Fact]:
     """What a route or a class rule makes tighter than the class itself."""
     found = [Fact(subject, "is served by", describe_pool(request_class), False)]
     if request_class.variant_of:
         found.append(Fact(subject, "is given up after", format_duration(request_class.deadline_us), False))
         found.append(Fact(subject, "may have second copies", str(request_class.may_hedge).lower(), False))
-        found += [Fact(subject, what, value, False) for what, value in may_do(request_class, settings).items()]
+        found += [
+            Fact(subject, what, value, False) for what, value in permitted_actions(request_class, settings).items()
+        ]
     return found
 
 
@@ -179,23 +185,25 @@
     restart: bool
 
 
-def differences(old: Config, new: Config) -> list[Difference]:
+def find_differences(old: Config, new: Config) -> list[Difference]:
     """What would behave differently, and what of it a reload can't bring."""
-    before = {(f.subject, f.what): f for f in facts(old)}
-    after = {(f.subject, f.what): f for f in facts(new)}
-    found = []
+    before = {(f.subject, f.what): f for f in list_facts(old)}
+    after = {(f.subject, f.what): f for f in list_facts(new)}
+    differences = []
     for key in dict.fromkeys([*before, *after]):
-        one, two = before.get(key), after.get(key)
-        if (one.value if one else "") != (two.value if two else ""):
-            restart = (two or one).restart  # type: ignore[union-attr]
-            found.append(Difference(*key, one.value if one else "", two.value if two else "", restart))
-    if not any(d.restart for d in found):
-        told = needs_restart(old, new)
-        found += [Difference("the sidecar", f"is told another {key}", "...", "...", True) for key in told]
-    return found
-
-
-def call_of(text: str) -> tuple[str | None, str]:
+        old_fact, new_fact = before.get(key), after.get(key)
+        if (old_fact.value if old_fact else "") != (new_fact.value if new_fact else ""):
+            restart = (new_fact or old_fact).restart  # type: ignore[union-attr]
+            differences.append(
+                Difference(*key, old_fact.value if old_fact else "", new_fact.value if new_fact else "", restart)
+            )
+    if not any(d.restart for d in differences):
+        restart_keys = needs_restart(old, new)
+        differences += [Difference("the sidecar", f"is told another {key}", "...", "...", True) for key in restart_keys]
+    return differences
+
+
+def parse_call(text: str) -> tuple[str | None, str]:
     """Service and method of a call such as `Invoice:issue`, or `issue`. Raises ValueError."""
     service, _, method = text.rpartition(":")
     if not method or any(c.isspace() for c in text):
@@ -203,7 +211,7 @@
     return service or None, method
 
 
-def requests_of(words: Sequence[str]) -> tuple[str, bytes, bytes]:
+def parse_request_line(words: Sequence[str]) -> tuple[str, bytes, bytes]:
     """Method, path and query of a request line such as `POST /despacho/a?b=1`. Raises ValueError."""
     if len(words) not in (2, 3) or (len(words) == 3 and not words[2].startswith("HTTP/")):
         raise ValueError('a request is written like "POST /despacho/a"')
@@ -211,7 +219,7 @@
     return words[0], path, query
 
 
-def keyed_hint(request_class: RequestClass) -> str:
+def describe_deduplication(request_class: RequestClass) -> str:
     if request_class.effect is not Effect.DEDUPLICATED:
         return ""
     group = {
--- a/eiderhub/config/load.py
+++ b/eiderhub/config/load.py
@@ -11,7 +11,7 @@
 from typing import Any, NamedTuple
 
 from eiderhub.config import sidecar_file
-from eiderhub.config.operator import owners_of, read_tables
+from eiderhub.config.operator_file import read_tables, table_owners
 from eiderhub.routing.plan import Plan, default_plan
 from eiderhub.schema.file_pair import FilePair
 from eiderhub.schema.files import UnreadableFileError, decode_text, parse_json, parse_toml, read_bytes
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class Examined:
+class ExaminedFiles:
     """One sidecar's files as they were read, with all that was found."""
 
     pair: FilePair
@@ -38,64 +38,68 @@
         return sort_findings([finding for report in self.pair.reports for finding in report.errors])
 
 
-class Source(NamedTuple):
+class SourceFile(NamedTuple):
     """A file's name, and what stood in it at one moment: nothing is read twice."""
 
     name: str
     content: bytes
 
     @staticmethod
-    def of(path: str | None) -> Source | None:
-        return None if path is None else Source(path, read_bytes(path))
+    def read(path: str | None) -> SourceFile | None:
+        return None if path is None else SourceFile(path, read_bytes(path))
 
 
-def examine(sidecar: Source | None, operator: Source | None, environ: Mapping[str, str] | None = None) -> Examined:
+def examine(
+    sidecar: SourceFile | None, operator: SourceFile | None, environ: Mapping[str, str] | None = None
+) -> ExaminedFiles:
     """Check a sidecar's file, an operator's file, or both together.
 
     `environ` stands above the file, as at a start; without it an address that only a start tells is no finding.
     """
-    own = Report(sidecar.name if sidecar else "")
-    theirs = Report(operator.name if operator else "")
-    raw = _decode_json(sidecar, own)
-    read = sidecar_file.DOCUMENT.read(raw, Location(own)) if raw is not None else {}
-    document: dict[str, Any] = read if isinstance(read, dict) else {}
-    tables = _decode_toml(operator, theirs)
-    pair = FilePair(document, Location(own), read_tables(tables, Location(theirs)), Location(theirs))
+    sidecar_report = Report(sidecar.name if sidecar else "")
+    operator_report = Report(operator.name if operator else "")
+    decoded = _decode_json(sidecar, sidecar_report)
+    parsed = sidecar_file.DOCUMENT.read(decoded, Location(sidecar_report)) if decoded is not None else {}
+    document: dict[str, Any] = parsed if isinstance(parsed, dict) else {}
+    tables = _decode_toml(operator, operator_report)
+    pair = FilePair(
+        document, Location(sidecar_report), read_tables(tables, Location(operator_report)), Location(operator_report)
+    )
     if document:
         sidecar_file.check(document, pair.sidecar)
-    for owner in owners_of(tables):
+    for owner in table_owners(tables):
         owner.check(pair)
     config = None
-    if raw is not None and not own.errors and not theirs.errors:
-        config = _config(raw, pair, environ)
-    return Examined(pair, raw, config)
+    if decoded is not None and not sidecar_report.errors and not operator_report.errors:
+        config = _build_config(decoded, pair, environ)
+    return ExaminedFiles(pair, decoded, config)
 
 
-def _decode_json(source: Source | None, report: Report) -> Any:
+def _decode_json(source: SourceFile | None, report: Report) -> Any:
     text = decode_text(source.content, Location(report)) if source else None
     return None if text is None else parse_json(text, report)
 
 
-def _decode_toml(source: Source | None, report: Report) -> dict[str, Any]:
+def _decode_toml(source: SourceFile | None, report: Report) -> dict[str, Any]:
     text = decode_text(source.content, Location(report)) if source else None
     return (parse_toml(text, report) if text is not None else None) or {}
 
 
-ANYWHERE = {"GW_LISTEN": "127.0.0.1:0", "GW_DISCOVERY": "127.0.0.1:1"}  # for files whose start tells these
+PLACEHOLDER_ADDRESSES = {"GW_LISTEN": "127.0.0.1:0", "GW_DISCOVERY": "127.0.0.1:1"}  # for files whose start tells these
 
 
-def _config(raw: Any, pair: FilePair, environ: Mapping[str, str] | None) -> Config | None:
+def _build_config(decoded: Any, pair: FilePair, environ: Mapping[str, str] | None) -> Config | None:
     """What a sidecar starts from; whatever its own reading still refuses is a finding like the others."""
     if environ is None:
-        environ = {key: value for key, value in ANYWHERE.items() if key[3:].lower() not in raw}
+        environ = {key: value for key, value in PLACEHOLDER_ADDRESSES.items() if key[3:].lower() not in decoded}
     try:
-        config = config_from(raw, environ, has_other_source="consul" in pair.tables)
+        config = config_from(decoded, environ, has_other_source="consul" in pair.tables)
         return dataclasses.replace(
             config,
             plan=make_plan(pair, config),
-            thrift=_thrift(pair),
-            consul=_consul(pair),
-            fleet=_fleet(raw, pair, config.name),
+            thrift=_thrift_options(pair),
+            consul=_consul_options(pair),
+            fleet=_fleet_options(decoded, pair, config.name),
         )
     except (ConfigError, ValueError) as error:
         pair.sidecar.error("start", str(error), "No sidecar starts from it", "Mend it")
@@ -110,7 +114,7 @@
     return options.make_plan(pair.tables, config.settings)
 
 
-def _thrift(pair: FilePair) -> Any:
+def _thrift_options(pair: FilePair) -> Any:
     if "thrift" not in pair.tables:
         return None
     from eiderhub.protocols.thrift import options  # off where the file says nothing of it
@@ -118,7 +122,7 @@
     return options.listener(pair.tables)
 
 
-def _consul(pair: FilePair) -> Any:
+def _consul_options(pair: FilePair) -> Any:
     if "consul" not in pair.tables:
         return None
     from eiderhub.membership.consul import options  # off where the file says nothing of it
@@ -126,21 +130,21 @@
     return options.read_options(pair.tables)
 
 
-def _fleet(raw: dict[str, Any], pair: FilePair, name: str) -> Any:
+def _fleet_options(decoded: dict[str, Any], pair: FilePair, name: str) -> Any:
     if "fleet" not in pair.tables:
         return None
     from eiderhub.fleet import options  # off where the file says nothing of it
 
-    return options.member_options(raw, pair.tables, name)
+    return options.member_options(decoded, pair.tables, name)
 
 
-def checked(environ: Mapping[str, str], operator: str | None) -> Config:
+def load_checked(environ: Mapping[str, str], operator: str | None) -> Config:
     """The configuration for a start or a reload. Raises `ConfigError` with the first error that was found."""
     path = environ.get("GW_CONFIG")
     if not path:
         raise ConfigError("GW_CONFIG: missing")
     try:
-        examined = examine(Source.of(path), Source.of(operator), environ)
+        examined = examine(SourceFile.read(path), SourceFile.read(operator), environ)
     except UnreadableFileError as error:
         raise ConfigError(str(error)) from None
     if examined.errors:
--- a/eiderhub/config/operator.py
+++ b/eiderhub/config/operator_file.py
@@ -13,7 +13,7 @@
 
 # Which module owns a table. It is imported only where the file names one of its tables, so that what is off costs
 # nothing; it brings `TABLES` (what may stand there) and `check(pair)` (what is well-formed and wrong).
-OWNERS = {
+TABLE_MODULES = {
     "limits": "eiderhub.sidecar.options",
     "classes": "eiderhub.routing.options",
     "pools": "eiderhub.routing.options",
@@ -25,14 +25,14 @@
 }
 
 
-class Owner(Protocol):
+class TableOwner(Protocol):
     TABLES: dict[str, ValueType]
 
     def check(self, pair: FilePair) -> None: ...
 
 
-def owner(table: str) -> Owner:
-    module: Any = import_module(OWNERS[table])
+def table_owner(table: str) -> TableOwner:
+    module: Any = import_module(TABLE_MODULES[table])
     return module  # type: ignore[no-any-return]
 
 
@@ -40,13 +40,16 @@
     """The tables of a decoded file, each read by its owner; what can't be read is left out, with findings."""
     tables = {}
     for name, value in document.items():
-        if name not in OWNERS:
+        if name not in TABLE_MODULES:
             (location / name).error(
-                "unknown-key", "the table is not known", "What it says would not be done", did_you_mean(name, OWNERS)
+                "unknown-key",
+                "the table is not known",
+                "What it says would not be done",
+                did_you_mean(name, TABLE_MODULES),
             )
             continue
         try:
-            kind = owner(name).TABLES[name]
+            kind = table_owner(name).TABLES[name]
         except ModuleNotFoundError as error:  # of an extra of the package: eiderhub[consul]
             (location / name).error(
                 "not-installed",
@@ -61,8 +64,8 @@
     return tables
 
 
-def owners_of(document: dict[str, Any]) -> Iterator[Owner]:
+def table_owners(document: dict[str, Any]) -> Iterator[TableOwner]:
     """The owners of a file's tables, each once."""
-    for module in sorted({OWNERS[name] for name in document if name in OWNERS}):
+    for module in sorted({TABLE_MODULES[name] for name in document if name in TABLE_MODULES}):
         with suppress(ModuleNotFoundError):  # told where its table was read
             yield import_module(module)
--- a/eiderhub/config/write.py
+++ b/eiderhub/config/write.py
@@ -1,6 +1,6 @@
-"""From a description to the two files of each application, with the reason for every value that was derived.
+"""Generates the two files of each application from a description, with the reason for each derived value.
 
-The same description gives the same bytes. What is written has passed the checker, as a sidecar would read it.
+The same description gives the same bytes. Files are written only if the checker finds no errors in them.
 """
 
 from __future__ import annotations
@@ -15,64 +15,73 @@
 from ipaddress import ip_address
 from typing import Any
 
-from eiderhub.config import describe
-from eiderhub.config.across import across
-from eiderhub.config.describe import Application
-from eiderhub.config.load import Examined, Source, examine
+from eiderhub.config import description
+from eiderhub.config.consistency import check_consistency
+from eiderhub.config.description import Application
+from eiderhub.config.load import ExaminedFiles, SourceFile, examine
 from eiderhub.routing.options import EFFECT_BY_REPEAT
 from eiderhub.schema.findings import Finding, KeyPath, Location, Report, Severity, sort_findings
 from eiderhub.schema.toml_writer import toml_key, toml_table, toml_value
 from eiderhub.schema.units import format_duration
 
-SIDECAR, OPERATOR = "sidecar.json", "operator.toml"
-MAX_TRIES, MAX_TRIES_INSIDE = 3, 2  # what the decision module makes of any larger figure, by tier
+SIDECAR_FILE, OPERATOR_FILE = "sidecar.json", "operator.toml"
+MAX_ATTEMPTS, MAX_ATTEMPTS_INNER = 3, 2  # the decision module's own limits, by tier
 
 
 @dataclass
-class Outcome:
-    """Findings of a description, and its files by name where there are no errors."""
+class GeneratedFiles:
+    """Findings of a description, and the content of its files by name. There are no files if there are errors."""
 
     findings: list[Finding] = field(default_factory=list)
     files: dict[str, bytes] = field(default_factory=dict)
 
     @property
-    def sound(self) -> bool:
+    def is_valid(self) -> bool:
         return not any(f.severity is Severity.ERROR for f in self.findings)
 
 
-def outcome(path: str) -> Outcome:
-    """Everything that a description gives. Raises `files.UnreadableFileError` where it can't be read at all."""
-    applications, report = describe.read(path)
+def generate(path: str) -> GeneratedFiles:
+    """Generate and check the files of a description. Raises `UnreadableFileError` if it can't be read."""
+    applications, report = description.read_description(path)
     if report.errors:
-        return Outcome(sort_findings(report.findings))
+        return GeneratedFiles(sort_findings(report.findings))
     files: dict[str, bytes] = {}
     examined = []
     for application in applications:
-        own, theirs = sidecar_text(application), operator_text(application)
-        files[f"{application.name}/{SIDECAR}"] = own
-        files[f"{application.name}/{OPERATOR}"] = theirs
-        examined.append(examine(Source(SIDECAR, own), Source(OPERATOR, theirs)))
-    across(examined)
-    for application, one in zip(applications, examined, strict=True):
-        _tell_back(application, one, report)
-    found = Outcome(sort_findings(report.findings), files)
-    if not found.sound:
+        sidecar_content, operator_content = sidecar_text(application), operator_text(application)
+        files[f"{application.name}/{SIDECAR_FILE}"] = sidecar_content
+        files[f"{application.name}/{OPERATOR_FILE}"] = operator_content
+        examined.append(examine(SourceFile(SIDECAR_FILE, sidecar_content), SourceFile(OPERATOR_FILE, operator_content)))
+    check_consistency(examined)
+    for application, examined_files in zip(applications, examined, strict=True):
+        _report_at_origin(application, examined_files, report)
+    found = GeneratedFiles(sort_findings(report.findings), files)
+    if not found.is_valid:
         found.files = {}
     return found
 
 
-def _tell_back(application: Application, examined: Examined, report: Report) -> None:
-    """Findings of the written files, at the place of the description that they come from."""
+def _report_at_origin(application: Application, examined: ExaminedFiles, report: Report) -> None:
+    """Report findings of the generated files at the part of the description that they result from."""
     for finding in examined.findings:
-        place = Location(report, (*application.location.path, *_origin(application, finding.key)))
-        report.add(finding.severity, place.path, finding.code, finding.what, finding.follows, finding.do)
+        origin = Location(report, (*application.location.path, *_origin(application, finding.key)))
+        report.add(finding.severity, origin.path, finding.code, finding.what, finding.follows, finding.do)
 
 
 def _origin(application: Application, key: str) -> KeyPath:
     names = list(application.table["classes"])
     if match := re.match(r"settings\.Categories\[(\d+)\](?:\.(\w+))?", key):
-        own = {"AimUs": "wanted", "DeadlineUs": "give_up", "Effect": "repeat", "DedupWindowUs": "remembered"}
-        return ("classes", names[int(match[1])], *([own[match[2]]] if match[2] in own else []))
+        source_keys = {
+            "AimUs": "wanted",
+            "DeadlineUs": "give_up",
+            "Effect": "repeat",
+            "DedupWindowUs": "remembered",
+        }
+        return (
+            "classes",
+            names[int(match[1])],
+            *([source_keys[match[2]]] if match[2] in source_keys else []),
+        )
     if key.startswith("settings.Parties"):
         return ("tenants",)
     if key.startswith("limits.rate"):
@@ -88,12 +97,13 @@
     return (key,) if key in application.raw else ()
 
 
-def write(path: str, folder: str) -> Outcome:
-    """Write the files of a description below `folder`; nothing is written where there are errors.
+def write(path: str, folder: str) -> GeneratedFiles:
+    """Write the files of a description below `folder`, or no files if there are errors.
 
-    Raises `UnreadableFileError` and OSError. Each file is replaced whole: a reader sees the old one or the new one.
+    Each file is replaced atomically: a reader sees the old or the new content.
+    Raises `UnreadableFileError` and OSError.
     """
-    found = outcome(path)
+    found = generate(path)
     for name, content in found.files.items():
         target = os.path.join(folder, name)
         os.makedirs(os.path.dirname(target), exist_ok=True)
@@ -109,15 +119,18 @@
 # --- the sidecar's file ---
 
 
-def window_us(remembered: int, connect: int) -> int:
-    """For how long a key is sent again: a resend may have to connect first, and must still arrive in time."""
+def dedup_window_us(remembered: int, connect: int) -> int:
+    """Return how long a key may be resent, in microseconds.
+
+    A resend may have to connect first, and must still arrive while endpoints remember the key.
+    """
     return remembered - connect
 
 
-def attempts(deadlines: list[int], connect: int, layer: int) -> int:
-    """Attempts that fit into the shortest deadline, each failing to connect, and that the module makes use of."""
-    most = MAX_TRIES_INSIDE if layer else MAX_TRIES
-    return max(1, min(most, min(deadlines) // connect))
+def fitting_attempts(deadlines: list[int], connect: int, layer: int) -> int:
+    """Return how many failed connection attempts fit into the shortest deadline, up to the decision module's limit."""
+    max_attempts = MAX_ATTEMPTS_INNER if layer else MAX_ATTEMPTS
+    return max(1, min(max_attempts, min(deadlines) // connect))
 
 
 def sidecar_text(application: Application) -> bytes:
@@ -125,9 +138,9 @@
     classes, servers, machine = table["classes"], table["servers"], table["machine"]
     tiers = list(table["tiers"] or ([table["tier"]] if table["tier"] else [""]))
     layer = tiers.index(table["tier"]) if table["tier"] else 0
-    tries = attempts([row["give_up"] for row in classes.values()] or [1], servers["connect"], layer)
-    harmless = [name for name, row in classes.items() if row["repeat"] == "harmless"]
-    notes = _notes(table, layer, tries, harmless)
+    attempt_limit = fitting_attempts([row["give_up"] for row in classes.values()] or [1], servers["connect"], layer)
+    harmless_classes = [name for name, row in classes.items() if row["repeat"] == "harmless"]
+    notes = _notes(table, layer, attempt_limit, harmless_classes)
     settings: dict[str, Any] = {
         "Categories": [_category(name, row, servers["connect"]) for name, row in classes.items()],
         "Parties": [
@@ -135,8 +148,8 @@
             for name, share in table["tenants"].items()
         ],
         "Allowed": {
-            "MaxAttempts": tries,
-            "SecondCopies": bool(harmless) and layer == 0,
+            "MaxAttempts": attempt_limit,
+            "SecondCopies": bool(harmless_classes) and layer == 0,
             "MayCancel": True,
             "RetryAfter": table["clients_wait"] > 0,
             "MaxRetryAfterUs": table["clients_wait"],
@@ -187,7 +200,7 @@
     }
     if row["repeat"] == "keyed":
         found["Group"] = row["dropped_by"]
-        found["DedupWindowUs"] = window_us(row["remembered"], connect)
+        found["DedupWindowUs"] = dedup_window_us(row["remembered"], connect)
     return found
 
 
@@ -198,21 +211,24 @@
     ]
 
 
-def _notes(table: dict[str, Any], layer: int, tries: int, harmless: list[str]) -> dict[str, str]:
+def _notes(table: dict[str, Any], layer: int, attempt_limit: int, harmless_classes: list[str]) -> dict[str, str]:
     connect = format_duration(table["servers"]["connect"])
     notes = {
-        "seed": "from the name, so that the same description gives the same file; sidecars of one tier should differ",
-        "settings.Allowed.MaxAttempts": f"{tries}: as many as fit into the shortest give-up time if each takes "
-        f"{connect} to fail, and no more than the module makes of them in tier {layer}",
-        "settings.Allowed.SecondCopies": f"for {', '.join(harmless)}, which are harmless to repeat"
-        if harmless and layer == 0
-        else "off: in an inner tier copies multiply"
+        "seed": "derived from the name, so that the same description gives the same file; it should differ between the "
+        "sidecars of one tier",
+        "settings.Allowed.MaxAttempts": f"{attempt_limit}: as many as fit into the shortest deadline if each takes "
+        f"{connect} to fail, up to the decision module's limit in tier {layer}",
+        "settings.Allowed.SecondCopies": f"for {', '.join(harmless_classes)}, which are harmless to repeat"
+        if harmless_classes and layer == 0
+        else "off: in an inner tier, hedged requests would multiply those of the outer tiers"
         if layer
         else "off: no class is harmless to repeat",
-        "settings.Allowed.MaxRetryAfterUs": "the longest wait that clients obey, as described",
+        "settings.Allowed.MaxRetryAfterUs": "the longest Retry-After that clients obey, from the description",
     }
     if table["tenants"]:
-        notes["settings.Parties"] = f"QuotaPerS is the share of {table['rate']:g} requests a second, at all sidecars"
+        notes["settings.Parties"] = (
+            f"QuotaPerS is the share of {table['rate']:g} requests per second, over all sidecars"
+        )
     for name, row in table["classes"].items():
         if row["repeat"] == "keyed":
             notes[f"settings.Categories {name}"] = (
@@ -220,11 +236,11 @@
                 "a resend may have to connect first"
             )
         elif row["repeat"] == "never":
-            notes[f"settings.Categories {name}"] = "at_most_once: sent again only where it surely has not run"
+            notes[f"settings.Categories {name}"] = "at_most_once: resent only if it is certain that it has not run"
     if not table["discovery"]:
-        notes["known"] = "all there is: no discovery is described, so a change of it needs a restart"
+        notes["known"] = "all endpoints: the description has no discovery, so a change of endpoints needs a restart"
     elif not table["endpoints"]:
-        notes["known"] = "empty: nothing is served until discovery has answered"
+        notes["known"] = "empty: no request is served until discovery has answered"
     return notes
 
 
@@ -239,20 +255,20 @@
     table, raw = application.table, application.raw
     host = table["listen"].rpartition(":")[0].strip("[]")
     loopback = host == "localhost" or ip_address(host).is_loopback
-    asked = loopback if table["loopback"] is None else table["loopback"]
-    yield f"# Operator's file of {application.name}. Written from its description: change that, and write again."
-    yield "# `eiderhub config check` on this folder says whether a sidecar would start and run soundly from it."
+    loopback_only = loopback if table["loopback"] is None else table["loopback"]
+    yield f"# Operator's file of {application.name}. Generated from its description: edit that and generate it again."
+    yield "# `eiderhub config check` on this folder shows whether a sidecar would start from it."
     yield ""
     yield "[limits]"
     if table["loopback"] is None:
-        yield f"# {'The description listens on loopback: nothing else should.' if loopback else 'Not on loopback.'}"
-    yield f"listen = {toml_value('loopback' if asked else 'any')}"
-    yield f"# {table['rate']:g} requests a second over {table['sidecars']} sidecars; descriptors are held against it."
+        yield f"# {'The sidecar listens on loopback, and only there.' if loopback else 'Not on loopback.'}"
+    yield f"listen = {toml_value('loopback' if loopback_only else 'any')}"
+    yield f"# {table['rate']:g} requests per second over {table['sidecars']} sidecars; checked against the descriptors."
     yield f"rate = {toml_value(round(table['rate'] / table['sidecars'], 3))}"
     for name, row in table["classes"].items():
         yield ""
         yield f"[classes.{toml_key(name)}]"
-        yield "# Said once more, so that a change of the sidecar's file alone is found."
+        yield "# Repeated here so that the checker detects a change of the sidecar's file alone."
         yield f"repeat = {toml_value(row['repeat'])}"
         if row["remembered"]:
             yield f"remembered = {toml_value(format_duration(row['remembered']))}"
@@ -260,7 +276,7 @@
             yield f"aliases = {toml_value(list(row['aliases']))}"
     yield ""
     yield "[routing]"
-    yield "# What becomes of a request that no route takes."
+    yield "# How a request that no route matches is handled."
     yield f"default = {toml_value(table['default'])}"
     for name, pool in raw.get("pools", {}).items():
         yield from toml_table(f"[pools.{toml_key(name)}]", pool)
--- a/eiderhub/sidecar/__main__.py
+++ b/eiderhub/sidecar/__main__.py
@@ -220,9 +220,9 @@
     """Load the configuration from the environment and, if given, the operator's file. Raises ConfigError."""
     if operator is None:
         return load(os.environ)
-    from eiderhub.config.load import checked  # not needed without an operator's file
+    from eiderhub.config.load import load_checked  # not needed without an operator's file
 
-    return checked(os.environ, operator)
+    return load_checked(os.environ, operator)
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -11,7 +11,7 @@
 from importlib import resources
 from pathlib import Path
 
-from eiderhub.config.write import outcome
+from eiderhub.config.write import generate
 from standins.callers import Callers, Kind
 from standins.discovery import Discovery, row
 from standins.endpoint import Behaviour, Endpoint, Ledger
@@ -29,10 +29,10 @@
     """Run it; the status is 0 where the sidecar answered everything and repeated nothing."""
     description = folder / "demo.toml"
     description.write_text((resources.files("standins") / "demo.toml").read_text(encoding="utf-8"), encoding="utf-8")
-    written = outcome(str(description))
+    written = generate(str(description))
     for finding in written.findings:
         print(finding)
-    if not written.sound:
+    if not written.is_valid:
         return 1
     document = json.loads(written.files["demo/sidecar.json"])
     operator = written.files["demo/operator.toml"].decode()
--- a/tests/config/serving.py
+++ b/tests/config/serving.py
@@ -12,7 +12,7 @@
 from typing import Any, NamedTuple
 from urllib.parse import quote, urlencode
 
-from eiderhub.config.load import Source, examine
+from eiderhub.config.load import SourceFile, examine
 from eiderhub.interface import Effect, RequestClass
 from eiderhub.routing.conflicts import example_path
 from eiderhub.routing.plan import METHOD, Plan
@@ -24,12 +24,12 @@
 from standins.http import read_message, request
 from standins.program import running
 
-MOST_WAYS = 6  # of one configuration
+MAX_EXAMPLES = 6  # of one configuration
 MARGIN_S = 0.06  # answers leave so long before it
-MOST_LATE = 4  # requests through one way that a busy machine held up past the time of their class
+MAX_LATE_ANSWERS = 4  # requests through one way that a busy machine held up past the time of their class
 
 
-class Way(NamedTuple):
+class ExampleRequest(NamedTuple):
     """A request that a configuration serves, and the class that it must be of."""
 
     target: str
@@ -37,14 +37,14 @@
     request_class: RequestClass
 
 
-def ways(plan: Plan) -> Iterator[Way]:
+def example_requests(plan: Plan) -> Iterator[ExampleRequest]:
     for route in plan.table.routes if plan.table else ():
         if route.protocol in (None, "http") and not route.service and not route.call:
             headers = dict(route.headers)
             if route.tenant:
                 headers["Req-Owner"] = route.tenant
             target = example_path(route.pattern) + ("?" + urlencode(route.query) if route.query else "")
-            yield Way(target, headers, _really(plan, route, target, headers))
+            yield ExampleRequest(target, headers, _matching_class(plan, route, target, headers))
     if plan.default == "first-part":
         for name, request_class in plan.classes_by_first_segment.items():
             path = f"/{quote(name, safe='')}/a"
@@ -53,39 +53,39 @@
             except ValueError:
                 continue  # no path can name it: the checker warns of that
             if segments[0] == name:
-                yield Way(
+                yield ExampleRequest(
                     path,
                     {},
                     plan.class_of(RequestAttributes("http", METHOD[request_class.effect], segments)) or request_class,
                 )
 
 
-def _really(plan: Plan, route: Route, target: str, headers: dict[str, str]) -> RequestClass:
+def _matching_class(plan: Plan, route: Route, target: str, headers: dict[str, str]) -> RequestClass:
     """The class of a route's example: another route may be narrower and take it."""
     path, _, query = target.partition("?")
-    given = {name.lower().encode(): value.encode() for name, value in headers.items()}
+    header_values = {name.lower().encode(): value.encode() for name, value in headers.items()}
     method = METHOD[plan.classes_by_route[route.name].effect]
     attributes = RequestAttributes(
-        "http", method, segments_of(path.encode()), given, query.encode(), headers.get("Req-Owner")
+        "http", method, segments_of(path.encode()), header_values, query.encode(), headers.get("Req-Owner")
     )
     return plan.class_of(attributes) or plan.classes_by_route[route.name]
 
 
 def rows_for(config: Config, address: str) -> list[dict[str, Any]]:
     """One endpoint, listed once for each set of facts that some class asks for."""
-    found = [row("s-0", address, zone=config.settings.zone)]
+    rows = [row("s-0", address, zone=config.settings.zone)]
     for i, request_class in enumerate(config.plan.settings.classes if config.plan else ()):
         zone = sorted(request_class.allowed_zones)[0] if request_class.allowed_zones else config.settings.zone
         kind = sorted(request_class.allowed_machine_kinds)[0] if request_class.allowed_machine_kinds else "m"
-        facts = dict(label.split("=", 1) for label in request_class.labels)
-        found.append(row(f"s-{i + 1}", address, zone=zone, machineType=kind, metadata=facts))
-    return found
+        labels = dict(label.split("=", 1) for label in request_class.labels)
+        rows.append(row(f"s-{i + 1}", address, zone=zone, machineType=kind, metadata=labels))
+    return rows
 
 
 async def serve_through(document: dict[str, Any], operator: str | None) -> int:
     """Start the program, send a request through every way, and return how many were served. Asserts on each."""
     texts = (json.dumps(document).encode(), (operator or "").encode())
-    examined = examine(Source("sidecar.json", texts[0]), Source("operator.toml", texts[1]))
+    examined = examine(SourceFile("sidecar.json", texts[0]), SourceFile("operator.toml", texts[1]))
     assert examined.config is not None, examined.errors
     assert examined.config.plan is not None
     plan = examined.config.plan
@@ -94,18 +94,18 @@
     discovery = await Discovery().start()
     for entry in rows_for(examined.config, endpoint.address):
         discovery.update(entry)
-    told = {**document, "discovery": discovery.address}
+    document_with_discovery = {**document, "discovery": discovery.address}
     served: set[str] = set()
     late: set[str] = set()
     with tempfile.TemporaryDirectory() as folder:
-        async with running(Path(folder), told, operator) as (_, host, port):
+        async with running(Path(folder), document_with_discovery, operator) as (_, host, port):
             async with asyncio.timeout(5):
                 while not discovery.request_count:  # the known list may be old, and is polled for later
                     await asyncio.sleep(0.005)
-            for way in list(ways(plan))[:MOST_WAYS]:
-                for _ in range(MOST_LATE + 1):
+            for example in list(example_requests(plan))[:MAX_EXAMPLES]:
+                for _ in range(MAX_LATE_ANSWERS + 1):
                     name = f"r{len(served) + len(late)}"
-                    if await _send(host, port, way, name, examined.config):
+                    if await _send(host, port, example, name, examined.config):
                         served.add(name)
                         break
                     late.add(name)
@@ -115,18 +115,21 @@
     return len(served)
 
 
-async def _send(host: str, port: int, way: Way, name: str, config: Config) -> bool:
+async def _send(host: str, port: int, example: ExampleRequest, name: str, config: Config) -> bool:
     """Whether it was served: the one other end is a failure, or a refusal, once the time of its class was over."""
     tenant = config.settings.tenants[0].name if config.settings.tenants else "nobody"
-    headers = {"Host": "a", "Req-Id": name, "Req-Owner": tenant, "Req-Deadline-Ms": "5000", **way.headers}
-    if way.request_class.effect is Effect.DEDUPLICATED:
+    headers = {"Host": "a", "Req-Id": name, "Req-Owner": tenant, "Req-Deadline-Ms": "5000", **example.headers}
+    if example.request_class.effect is Effect.DEDUPLICATED:
         headers["Idempotency-Key"] = f"k{name}"
     reader, writer = await asyncio.open_connection(host, port)
-    writer.write(request(METHOD[way.request_class.effect], way.target, headers))
-    begun = time.monotonic()
+    writer.write(request(METHOD[example.request_class.effect], example.target, headers))
+    sent_at = time.monotonic()
     answer = await read_message(reader)
     writer.close()
-    if answer.status in (502, 503, 504) and time.monotonic() - begun > way.request_class.objective_us / 1e6 - MARGIN_S:
+    if (
+        answer.status in (502, 503, 504)
+        and time.monotonic() - sent_at > example.request_class.objective_us / 1e6 - MARGIN_S
+    ):
         return False
-    assert (answer.status, answer.body) == (200, way.target.encode()), (way, answer.first, answer.body)
+    assert (answer.status, answer.body) == (200, example.target.encode()), (example, answer.first, answer.body)
     return True
--- a/tests/config/test_corpus.py
+++ b/tests/config/test_corpus.py
@@ -9,8 +9,8 @@
 import pytest
 
 from eiderhub.config.check import check
-from eiderhub.config.describe import is_description
-from eiderhub.config.load import checked
+from eiderhub.config.description import is_description
+from eiderhub.config.load import load_checked
 from eiderhub.config.write import write
 from eiderhub.schema.files import parse_toml
 from eiderhub.schema.findings import Report, Severity
@@ -61,12 +61,12 @@
 def test_no_sidecar_starts_or_reloads_from_a_bad_file(path: Path) -> None:
     own, theirs = pair(path)
     with pytest.raises(ConfigError):
-        checked({"GW_CONFIG": str(own)}, str(theirs) if theirs else None)
+        load_checked({"GW_CONFIG": str(own)}, str(theirs) if theirs else None)
 
 
 @pytest.mark.parametrize("path", [path for path in BAD if not pair(path)[0]], ids=lambda path: path.name)
 def test_nothing_is_written_from_a_bad_description(path: Path, tmp_path: Path) -> None:
-    assert not write(str(path), str(tmp_path)).sound
+    assert not write(str(path), str(tmp_path)).is_valid
     assert list(tmp_path.iterdir()) == []
 
 
--- a/tests/config/test_declared.py
+++ b/tests/config/test_declared.py
@@ -7,7 +7,7 @@
 import pytest
 
 from eiderhub.config.check import check
-from eiderhub.config.load import checked
+from eiderhub.config.load import load_checked
 from eiderhub.schema.declared_classes import DECLARED_CLASSES_VARIABLE
 from eiderhub.sidecar.config import ConfigError
 
@@ -45,4 +45,4 @@
     (told,) = result.unreadable
     assert str(path) in told and what in told
     with pytest.raises(ConfigError, match=r"declared\.toml"):
-        checked({"GW_CONFIG": str(CORPUS / "base.json")}, None)
+        load_checked({"GW_CONFIG": str(CORPUS / "base.json")}, None)
--- a/tests/config/test_directions.py
+++ b/tests/config/test_directions.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from eiderhub.config.load import ANYWHERE, Source, examine
+from eiderhub.config.load import PLACEHOLDER_ADDRESSES, SourceFile, examine
 from eiderhub.routing.plan import default_plan
 from eiderhub.sidecar.config import ConfigError, config_from
 from tests.support import RecordingHost
@@ -20,14 +20,14 @@
 
 
 def errors_of(document: Any) -> list[str]:
-    found = examine(Source("x.json", json.dumps(document).encode()), None)
+    found = examine(SourceFile("x.json", json.dumps(document).encode()), None)
     assert (found.config is None) == bool(found.errors)
     return [finding.code for finding in found.errors]
 
 
 def starts(document: Any) -> bool:
     """Whether the program's own reading takes it, and the module can be made and started on it."""
-    environ = {key: value for key, value in ANYWHERE.items() if key[3:].lower() not in document}
+    environ = {key: value for key, value in PLACEHOLDER_ADDRESSES.items() if key[3:].lower() not in document}
     try:
         config = config_from(document, environ)
     except ConfigError:
@@ -77,15 +77,15 @@
 def from_the_platform(draw: st.DrawFn) -> dict[str, Any]:
     """Documents as the platform hands them out: any sound figures, and keys that the sidecar has no use for."""
     us = st.integers(50_000, 10_000_000)
-    grades = []
+    request_classes = []
     for i in range(draw(st.integers(1, 4))):
-        aim = draw(us)
+        objective_us = draw(us)
         effect = draw(st.sampled_from(["idempotent", "deduplicated", "at_most_once"]))
-        grades.append(
+        request_classes.append(
             {
                 "Name": f"c{i}",
-                "AimUs": aim,
-                "DeadlineUs": aim + draw(st.integers(2_000_000, 9_000_000)),
+                "AimUs": objective_us,
+                "DeadlineUs": objective_us + draw(st.integers(2_000_000, 9_000_000)),
                 "Effect": effect,
                 "Group": draw(st.sampled_from(["all", "zone", "cell"])),
                 "DedupWindowUs": draw(st.integers(1 if effect == "deduplicated" else 0, 9_000_000)),
@@ -126,7 +126,7 @@
             },
             "Balancers": balancers,
             "Rank": draw(st.integers(0, 200)),
-            "Categories": grades,
+            "Categories": request_classes,
             "Charges": {"Connection": 0.08, "CrossZone": 0.0, "Waste": 0.05},
             "Clients": {"MarksRetry": False},
             "Discovery": draw(st.sampled_from(["ask", "push"])),
--- a/tests/config/test_tool.py
+++ b/tests/config/test_tool.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from eiderhub.config.check import Unit, check, units
+from eiderhub.config.check import FileGroup, check, group_files
 from eiderhub.config.command import main
-from eiderhub.config.operator import OWNERS, owner
+from eiderhub.config.operator_file import TABLE_MODULES, table_owner
 
 BASE = Path(__file__).parent.parent / "corpus" / "base.json"
 ROUTES = """
@@ -53,9 +53,16 @@
 
 @pytest.mark.parametrize("path", ["/stock/7", "/Stock/7/", "/st%6fck/7?x=1"])
 def test_explain_names_route_class_and_pool(path: str, folder: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    told = explained(folder, f"GET {path}", capsys)
-    assert (told["route"], told["class"], told["pool"], told["given up after"]) == ("stock", "look", "zones a", "1.5s")
-    assert told["after a reset or a time-out (it may have run)"].startswith("send it again to any endpoint, 2 attempts")
+    fields = explained(folder, f"GET {path}", capsys)
+    assert (fields["route"], fields["class"], fields["pool"], fields["given up after"]) == (
+        "stock",
+        "look",
+        "zones a",
+        "1.5s",
+    )
+    assert fields["after a reset or a time-out (it may have run)"].startswith(
+        "send it again to any endpoint, 2 attempts"
+    )
 
 
 def test_explain_tells_what_may_be_done_by_effect(folder: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -147,25 +154,28 @@
 
 def test_keys_lists_every_table_and_key(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["keys"]) == 0
-    told = capsys.readouterr().out
-    for name in OWNERS:
-        assert f"[{name}" in told
-        assert name in owner(name).TABLES
-    assert "deadline       its time, where that is shorter than the class's" in told
+    fields = capsys.readouterr().out
+    for name in TABLE_MODULES:
+        assert f"[{name}" in fields
+        assert name in table_owner(name).TABLES
+    assert "deadline       its time, where that is shorter than the class's" in fields
 
 
 def test_files_that_belong_together() -> None:
-    assert units(["f/a.json", "f/a.toml", "f/b.json"]) == [Unit("f/a.json", "f/a.toml"), Unit("f/b.json", None)]
-    assert units(["f/sidecar.json", "f/operator.toml", "f/c.toml"]) == [
-        Unit("f/sidecar.json", "f/operator.toml"),
-        Unit(None, "f/c.toml"),
+    assert group_files(["f/a.json", "f/a.toml", "f/b.json"]) == [
+        FileGroup("f/a.json", "f/a.toml"),
+        FileGroup("f/b.json", None),
+    ]
+    assert group_files(["f/sidecar.json", "f/operator.toml", "f/c.toml"]) == [
+        FileGroup("f/sidecar.json", "f/operator.toml"),
+        FileGroup(None, "f/c.toml"),
     ]
-    assert units(["f/x.json", "f/y.toml"]) == [Unit("f/x.json", "f/y.toml")]
-    assert units(["f/x.json", "g/y.toml"]) == [Unit("f/x.json", "g/y.toml")]
-    assert units(["f/x.json", "g/y.json"]) == [Unit("f/x.json", None), Unit("g/y.json", None)]
+    assert group_files(["f/x.json", "f/y.toml"]) == [FileGroup("f/x.json", "f/y.toml")]
+    assert group_files(["f/x.json", "g/y.toml"]) == [FileGroup("f/x.json", "g/y.toml")]
+    assert group_files(["f/x.json", "g/y.json"]) == [FileGroup("f/x.json", None), FileGroup("g/y.json", None)]
 
 
-def two(tmp_path: Path, *changes: tuple[tuple[str | int, ...], Any]) -> list[tuple[str, str]]:
+def findings_of_two(tmp_path: Path, *changes: tuple[tuple[str | int, ...], Any]) -> list[tuple[str, str]]:
     """The findings of two applications, of which the second differs from the first in these things."""
     for name in ("one", "two"):
         (tmp_path / name).mkdir()
@@ -174,34 +184,34 @@
     return [(Path(f.file).parent.name, f.code) for f in check([str(tmp_path)]).findings]
 
 
-GRADES = ("settings", "Categories")
+CATEGORIES = ("settings", "Categories")
 
 
 def test_two_applications_that_agree(tmp_path: Path) -> None:
-    assert two(tmp_path) == []
+    assert findings_of_two(tmp_path) == []
 
 
 def test_one_address_twice(tmp_path: Path) -> None:
-    assert two(tmp_path, (("listen",), "127.0.0.1:7070")) == [("two", "same-address")]
+    assert findings_of_two(tmp_path, (("listen",), "127.0.0.1:7070")) == [("two", "same-address")]
 
 
 @pytest.mark.parametrize("name", ["look", "Look", "l%6fok"])
 def test_effects_that_differ_between_applications_and_tiers(tmp_path: Path, name: str) -> None:
     """The weaker one is the finding, whichever file is read first and however the name is spelt."""
-    changes = ((*GRADES, 0, "Name"), name), ((*GRADES, 0, "Effect"), "at_most_once")
-    assert ("one", "effects-differ") in two(tmp_path, *changes, (("settings", "Layer"), 1))
+    changes = ((*CATEGORIES, 0, "Name"), name), ((*CATEGORIES, 0, "Effect"), "at_most_once")
+    assert ("one", "effects-differ") in findings_of_two(tmp_path, *changes, (("settings", "Layer"), 1))
 
 
 def test_an_inner_tier_that_outlasts_the_one_above(tmp_path: Path) -> None:
-    inner = (("settings", "Layer"), 1), ((*GRADES, 0, "DeadlineUs"), 3_500_000)
-    assert two(tmp_path, *inner) == [("two", "outlasts-tier-above")]
+    inner = (("settings", "Layer"), 1), ((*CATEGORIES, 0, "DeadlineUs"), 3_500_000)
+    assert findings_of_two(tmp_path, *inner) == [("two", "outlasts-tier-above")]
     (tmp_path / "again").mkdir()
-    assert two(tmp_path / "again", inner[0], ((*GRADES, 0, "DeadlineUs"), 3_000_000)) == []
+    assert findings_of_two(tmp_path / "again", inner[0], ((*CATEGORIES, 0, "DeadlineUs"), 3_000_000)) == []
 
 
 def test_all_findings_come_at_once_and_sorted(tmp_path: Path) -> None:
     changes = (
-        ((*GRADES, 0, "AimUs"), 9_000_000),
+        ((*CATEGORIES, 0, "AimUs"), 9_000_000),
         (("limits", "memory_mb"), 8),
         (("settings", "Parties", 0, "Share"), 0.9),
     )
@@ -235,8 +245,8 @@
 
 def test_explain_tells_what_becomes_of_a_thrift_call(folder: Path, capsys: pytest.CaptureFixture[str]) -> None:
     (folder / "operator.toml").write_text(ROUTES + THRIFT)
-    told = explained(folder, "Invoice:issue", capsys, "--protocol", "thrift")
-    assert (told["route"], told["class"]) == ("issue", "despacho")
+    fields = explained(folder, "Invoice:issue", capsys, "--protocol", "thrift")
+    assert (fields["route"], fields["class"]) == ("issue", "despacho")
     by_name = explained(folder, "despacho", capsys, "--protocol", "thrift")
     assert by_name["route"] == "the default: the method's name is its class"
     nothing = explained(folder, "Invoice:undo", capsys, "--protocol", "thrift")
--- a/tests/config/test_write.py
+++ b/tests/config/test_write.py
@@ -14,13 +14,13 @@
 
 from eiderhub.config.check import check
 from eiderhub.config.command import main
-from eiderhub.config.write import attempts, outcome, window_us, write
+from eiderhub.config.write import dedup_window_us, fitting_attempts, generate, write
 from eiderhub.schema.toml_writer import toml_table, toml_value
 from tests.config.serving import serve_through
 
 REPOSITORY = Path(__file__).parents[2]
-RANDOM = 200
-AT_ONCE = 8  # programs that are started side by side
+DESCRIPTION_COUNT = 200
+MAX_CONCURRENT_PROGRAMS = 8  # programs that are started side by side
 
 names = st.text("abcdefghijklmnopqrstuvwxyz0123456789-_", min_size=1, max_size=8).map(lambda name: "n" + name)
 milliseconds = st.integers(200, 4000)
@@ -53,7 +53,7 @@
 @st.composite
 def descriptions(draw: st.DrawFn) -> dict[str, Any]:
     """Sound ones: times in order, shares up to 1, routes on paths of their own."""
-    grades = draw(st.dictionaries(names, classes(), min_size=1, max_size=4))
+    request_classes = draw(st.dictionaries(names, classes(), min_size=1, max_size=4))
     flag: st.SearchStrategy[bool] = st.booleans()
     tiers = draw(st.lists(names, min_size=1, max_size=3, unique=True))
     sidecars = draw(st.integers(1, 50))
@@ -72,7 +72,7 @@
         "clients_wait": duration(draw(st.sampled_from([0, 500, 2000]))),
         "default": draw(st.sampled_from(["first-part", "refuse"])),
         "machine": {"memory": f"{draw(st.integers(32, 192))}MiB", "descriptors": draw(st.integers(256, 1024))},
-        "classes": grades,
+        "classes": request_classes,
         "tenants": {name: round(1 / len(tenants) - 0.001, 3) for name in tenants},
     }
     pools = {"near": {"zones": ["here"]}, "rack": {"labels": {"rack": "r1"}}}
@@ -80,14 +80,14 @@
     found["pools"] = {name: pools[name] for name in chosen}
     found["routes"] = []
     for i in range(draw(st.integers(int(found["default"] == "refuse"), 3))):
-        grade = draw(st.sampled_from(sorted(grades)))
+        class_name = draw(st.sampled_from(sorted(request_classes)))
         route: dict[str, Any] = {
             "name": f"r{i}",
-            "class": grade,
+            "class": class_name,
             "path": f"/route-{i}" + draw(st.sampled_from(["", "/{id}", "/{id}/rest", "/*"])),
         }
         if draw(flag):
-            route["method"] = METHODS[grades[grade]["repeat"]]
+            route["method"] = METHODS[request_classes[class_name]["repeat"]]
         if bool(chosen) and draw(flag):
             route["pool"] = draw(st.sampled_from(chosen))
         if bool(tenants) and draw(flag):
@@ -116,25 +116,25 @@
 def test_everything_written_from_200_random_descriptions_starts_and_serves() -> None:
     drawn: list[dict[str, Any]] = []
 
-    @settings(max_examples=RANDOM, phases=[Phase.generate], suppress_health_check=list(HealthCheck))
+    @settings(max_examples=DESCRIPTION_COUNT, phases=[Phase.generate], suppress_health_check=list(HealthCheck))
     @given(descriptions())
     def draw(description: dict[str, Any]) -> None:
         drawn.append(description)
 
     draw()
-    assert len(drawn) >= RANDOM
+    assert len(drawn) >= DESCRIPTION_COUNT
 
     async def serve(description: dict[str, Any], gate: asyncio.Semaphore, folder: Path) -> None:
         path = folder / "d.toml"
         path.write_text(text_of(description))
-        made = outcome(str(path))
-        assert made.sound, (made.findings, path.read_text())
-        own, theirs = made.files.values()
+        generated = generate(str(path))
+        assert generated.is_valid, (generated.findings, path.read_text())
+        own, theirs = generated.files.values()
         async with gate:
             assert await serve_through(json.loads(own), theirs.decode()) > 0
 
     async def all_of_them() -> None:
-        gate = asyncio.Semaphore(AT_ONCE)
+        gate = asyncio.Semaphore(MAX_CONCURRENT_PROGRAMS)
         with tempfile.TemporaryDirectory() as folder:
             async with asyncio.TaskGroup() as group:
                 for i, description in enumerate(drawn):
@@ -151,7 +151,7 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "d.toml"
         path.write_text(text_of(description))
-        assert outcome(str(path)).files == outcome(str(path)).files
+        assert generate(str(path)).files == generate(str(path)).files
 
 
 def test_the_platforms_two_tiers_are_written_and_pass(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -180,11 +180,11 @@
 
 
 def test_windows_and_attempts() -> None:
-    assert window_us(4_000_000, 250_000) == 3_750_000
-    assert attempts([6_000_000, 2_500_000], 250_000, 0) == 3
-    assert attempts([6_000_000, 2_500_000], 250_000, 1) == 2
-    assert attempts([600_000], 250_000, 0) == 2
-    assert attempts([100_000], 250_000, 0) == 1
+    assert dedup_window_us(4_000_000, 250_000) == 3_750_000
+    assert fitting_attempts([6_000_000, 2_500_000], 250_000, 0) == 3
+    assert fitting_attempts([6_000_000, 2_500_000], 250_000, 1) == 2
+    assert fitting_attempts([600_000], 250_000, 0) == 2
+    assert fitting_attempts([100_000], 250_000, 0) == 1
 
 
 def test_a_writer_leaves_the_old_files_where_the_new_ones_are_not_sound(tmp_path: Path) -> None:
@@ -212,10 +212,10 @@
     text = (REPOSITORY / "standins" / "demo.toml").read_text()
     path = tmp_path / "d.toml"
     path.write_text(text.replace('discovery = "127.0.0.1:8500"', 'endpoints = ["127.0.0.1:9001", "127.0.0.1:9002"]'))
-    found = outcome(str(path))
+    found = generate(str(path))
     assert found.findings == []
     document = json.loads(found.files["demo/sidecar.json"])
     assert "discovery" not in document
     assert [row["hostPort"] for row in document["known"]["instances"]] == ["127.0.0.1:9001", "127.0.0.1:9002"]
     path.write_text(text.replace('discovery = "127.0.0.1:8500"', ""))
-    assert [(f.code, f.key) for f in outcome(str(path)).findings] == [("missing", "discovery")]
+    assert [(f.code, f.key) for f in generate(str(path)).findings] == [("missing", "discovery")]
--- a/tests/fleet/test_files.py
+++ b/tests/fleet/test_files.py
@@ -12,7 +12,7 @@
 import pytest
 
 from eiderhub.cli import main
-from eiderhub.config.load import Examined, Source, examine
+from eiderhub.config.load import ExaminedFiles, SourceFile, examine
 from eiderhub.fleet.event_log import EVENTS_FILE, MAX_FILE_BYTES, MEMBERS_FILE, EventLog
 from eiderhub.sidecar.config import needs_restart
 from tests.sidecar_support import SETUP, listing, row
@@ -26,12 +26,14 @@
 }  # fmt: skip
 
 
-def read(operator: str, **changes: Any) -> Examined:
+def read(operator: str, **changes: Any) -> ExaminedFiles:
     document = {**DOCUMENT, **changes}
-    return examine(Source("sidecar.json", json.dumps(document).encode()), Source("operator.toml", operator.encode()))
+    return examine(
+        SourceFile("sidecar.json", json.dumps(document).encode()), SourceFile("operator.toml", operator.encode())
+    )
 
 
-def codes(examined: Examined) -> list[str]:
+def codes(examined: ExaminedFiles) -> list[str]:
     return [error.code for error in examined.errors]
 
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -23,13 +23,13 @@
 GET = "GET {} HTTP/1.1\r\nHost: a\r\nReq-Id: {}\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 2000\r\n\r\n"
 
 
-class Told:
+class OperatorFile:
     """An operator's file beside a running program."""
 
     def __init__(self, tmp_path: Path, text: str = TABLES) -> None:
         self.path = tmp_path / "operator.toml"
         self.path.write_text(text)
-        self.words = ("--operator", str(self.path))
+        self.arguments = ("--operator", str(self.path))
 
     async def reload(self, running: Program, text: str, line: str) -> str:
         self.path.write_text(text)
@@ -53,12 +53,12 @@
 
 def test_routes_of_the_file_are_served_and_a_reload_changes_them(tmp_path: Path) -> None:
     async def test() -> None:
-        told = Told(tmp_path)
-        async with program(tmp_path, {}, *told.words) as running:
+        operator_file = OperatorFile(tmp_path)
+        async with program(tmp_path, {}, *operator_file.arguments) as running:
             assert await status(running, "/stock/7", 1) == 200
             assert await status(running, "/look/7", 2) == 200
             other = TABLES.replace("/stock", "/parts") + '\n[routing]\ndefault = "refuse"\n'
-            await told.reload(running, other, "the configuration is taken")
+            await operator_file.reload(running, other, "the configuration is taken")
             assert await status(running, "/stock/7", 3) == 404
             assert await status(running, "/parts/7", 4) == 200
             assert await status(running, "/look/7", 5) == 404
@@ -70,11 +70,11 @@
     """Two faults, of which the first is logged as the checker words it; a good change beside them is not taken."""
 
     async def test() -> None:
-        told = Told(tmp_path)
-        async with program(tmp_path, {}, *told.words) as running:
+        operator_file = OperatorFile(tmp_path)
+        async with program(tmp_path, {}, *operator_file.arguments) as running:
             bad = TABLES.replace("/stock", "/parts") + '\n[routing]\ndefualt = "refuse"\n\n[nothing]\n'
-            line = await told.reload(running, bad, "is not taken")
-            assert f"{told.path}:8: routing.defualt: error [unknown-key]" in line
+            line = await operator_file.reload(running, bad, "is not taken")
+            assert f"{operator_file.path}:8: routing.defualt: error [unknown-key]" in line
             assert await status(running, "/stock/7", 1) == 200
             assert await status(running, "/parts/7", 2) == 404
 
@@ -83,13 +83,13 @@
 
 def test_a_reload_that_needs_a_restart_is_refused_whole(tmp_path: Path) -> None:
     async def test() -> None:
-        told = Told(tmp_path)
-        async with program(tmp_path, {}, *told.words) as running:
+        operator_file = OperatorFile(tmp_path)
+        async with program(tmp_path, {}, *operator_file.arguments) as running:
             path = tmp_path / "config.json"
             document = json.loads(path.read_text())
             document["settings"] = {**document["settings"], "OverShareWorth": 0.5}
             path.write_text(json.dumps(document))
-            line = await told.reload(running, TABLES.replace("/stock", "/parts"), "is not taken")
+            line = await operator_file.reload(running, TABLES.replace("/stock", "/parts"), "is not taken")
             assert "a restart is needed for settings.over_share_worth; nothing has changed" in line
             assert await status(running, "/parts/7", 1) == 404
 
@@ -100,12 +100,12 @@
     """The route's class was safe to repeat; after the reload the same path is unsafe. Neither rule is mixed."""
 
     async def test() -> None:
-        told = Told(tmp_path)
-        async with program(tmp_path, {}, *told.words) as running:
+        operator_file = OperatorFile(tmp_path)
+        async with program(tmp_path, {}, *operator_file.arguments) as running:
             client = await running.client()
             client.writer.write(GET.format("/stock/7", "r1").encode())
             asked = await running.endpoint.next()
-            await told.reload(running, TABLES.replace('"look"', '"pay"'), "the configuration is taken")
+            await operator_file.reload(running, TABLES.replace('"look"', '"pay"'), "the configuration is taken")
             assert await status(running, "/stock/8", 2) == 405
             asked.reset()
             # It was `look`, which may be refused after it may have run; `pay` may not, and would be a 502.
@@ -115,14 +115,14 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "words"),
+    ("text", "expected"),
     [
         ("[routing]\ndefualt = 1\n", "error [unknown-key]"),
         ('[[routes]]\nname = "a"\nclass = "look"\npath = "/pay/*"\n', "error [disguise]"),
         (None, "No such file"),
     ],
 )
-def test_a_bad_operators_file_ends_the_start_with_one_line(tmp_path: Path, text: str | None, words: str) -> None:
+def test_a_bad_operators_file_ends_the_start_with_one_line(tmp_path: Path, text: str | None, expected: str) -> None:
     path = tmp_path / "operator.toml"
     if text is not None:
         path.write_text(text)
@@ -133,7 +133,7 @@
     assert process.returncode == 1
     assert errors.startswith("eiderhub.sidecar: ")
     assert errors.count("\n") == 1
-    assert words in errors
+    assert expected in errors
 
 
 def test_what_is_off_is_not_imported() -> None:
