--- a/eiderhub/config/__init__.py
+++ b/eiderhub/config/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's file, and the tool that writes and checks configurations. Nothing here runs in a plain sidecar."""
+"""Reads the operator's file, and writes, checks and explains configurations. Not loaded without an operator's file."""
--- a/eiderhub/config/check.py
+++ b/eiderhub/config/check.py
@@ -1,4 +1,4 @@
-"""Checks files, folders and a fleet: which files belong together, and what only shows across them."""
+"""Checks files, folders and fleets: finds the files, groups those that belong together and checks across groups."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from eiderhub.schema.files import UnreadableFileError, decode_text, parse_toml, read_bytes
 from eiderhub.schema.findings import Finding, Location, Report, Severity, sort_findings
 
-MAX_FILES = 10_000  # of one call: a fleet of a thousand applications has two each
+MAX_FILES = 10_000  # per run; a fleet of 1,000 applications has 2,000 files
 SUFFIXES = (".json", ".toml")
-PLATFORM_FILE = "balancer.toml"  # how the platform builds and runs the program: no configuration of a sidecar
+PLATFORM_FILE = "balancer.toml"  # how the platform builds and runs the program; not a sidecar's configuration
 
 
 class FileGroup(NamedTuple):
-    """What is checked together: one sidecar's file, one operator's file, or both."""
+    """Files that are checked together: one sidecar's file, one operator's file, or both."""
 
     sidecar: str | None
     operator: str | None
@@ -35,14 +35,14 @@
 
     @property
     def status(self) -> int:
-        """2: a file can't be read; 1: errors; 0: sidecars would start and run soundly."""
+        """The exit status. 2: a file can't be read; 1: errors; 0: no errors."""
         if self.unreadable:
             return 2
         return int(any(f.severity is Severity.ERROR for f in self.findings))
 
 
 def check(paths: Sequence[str]) -> CheckResult:
-    """Check everything that these paths name. Never raises for what a file holds."""
+    """Check the files and folders at these paths. Never raises for the content of a file."""
     result = CheckResult()
     files = list(_find_files(paths, result))
     result.files = len(files)
@@ -50,7 +50,7 @@
     for path in descriptions:
         try:
             result.findings += generate(path).findings
-        except UnreadableFileError as error:  # it was there a moment ago; what else was found still counts
+        except UnreadableFileError as error:  # removed since it was listed; keep the other findings
             result.unreadable.append(str(error))
     for group in group_files([path for path in files if path not in descriptions]):
         try:
@@ -67,7 +67,7 @@
 
 
 def _find_files(paths: Sequence[str], result: CheckResult) -> Iterator[str]:
-    """All files that are meant, each once: what is named, and what lies in folders that are named."""
+    """Yield the named files and the files in named folders, each once."""
     seen: set[str] = set()
     for path in paths:
         found = list(_files_below(path)) if os.path.isdir(path) else [path]
@@ -103,7 +103,7 @@
 
 
 def _is_description(path: str) -> bool:
-    """Whether a TOML file is the writer's, and no operator's file: by its keys, which have none in common."""
+    """Return whether a TOML file is a description; its keys differ from those of an operator's file."""
     report = Report(path)
     try:
         text = decode_text(read_bytes(path), Location(report))
@@ -114,9 +114,10 @@
 
 
 def group_files(files: Iterable[str]) -> list[FileGroup]:
-    """Which files belong together: in one folder those of one stem, `sidecar` and `operator`, or the only two.
+    """Group the files that belong to one sidecar.
 
-    Two files named alone from different folders belong together too, where there is one of each.
+    In one folder these are files of the same stem, `sidecar` and `operator`, or the only .json and the only .toml file.
+    One .json and one .toml file from different folders form a group if there are no other files.
     """
     files = list(files)
     by_folder: dict[str, list[str]] = {}
--- a/eiderhub/config/consistency.py
+++ b/eiderhub/config/consistency.py
@@ -1,4 +1,4 @@
-"""What shows only between files: one address twice, effects that differ, times that don't fit into each other."""
+"""Checks that need several files: duplicate addresses, conflicting effects, deadlines that outlast the outer tier."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class _ClassRow(NamedTuple):
-    """One class in one file."""
+    """One class of one sidecar's file."""
 
     name: str
     row: dict[str, Any]
@@ -22,7 +22,7 @@
 
 
 def check_consistency(examined: Sequence[ExaminedFiles]) -> None:
-    """What shows only between files: one address twice, effects that differ, times that don't fit."""
+    """Report duplicate addresses, and classes of the same name with conflicting effects or deadlines."""
     _check_addresses(examined)
     classes: dict[str, list[_ClassRow]] = {}
     for one in examined:
@@ -48,32 +48,35 @@
         if listen in files_by_address:
             (one.pair.sidecar / "listen").error(
                 "same-address",
-                f"{listen} is the address of {files_by_address[listen]} too",
-                "The second of them would not start",
+                f"{listen} is used by {files_by_address[listen]} as well",
+                "The second sidecar would not start",
                 "Give each sidecar an address of its own",
             )
         files_by_address.setdefault(listen, file)
 
 
 def _check_effects(same_name_rows: list[_ClassRow]) -> None:
-    """A call goes on down the chain: what one tier takes for unsafe, no other may send again."""
+    """Report classes that are less strict than the same class in another file.
+
+    Calls pass through several tiers, so no tier may repeat what another tier declares unsafe to repeat.
+    """
     strictest = max(same_name_rows, key=lambda c: STRICTNESS[c.row["Effect"]])
-    for one in same_name_rows:
-        if one.location.report is strictest.location.report:
-            continue  # two names in one file are that file's own finding
-        if STRICTNESS[one.row["Effect"]] < STRICTNESS[strictest.row["Effect"]]:
-            (one.location / "Effect").error(
+    for class_row in same_name_rows:
+        if class_row.location.report is strictest.location.report:
+            continue  # `sidecar_file.check` compares names within one file
+        if STRICTNESS[class_row.row["Effect"]] < STRICTNESS[strictest.row["Effect"]]:
+            (class_row.location / "Effect").error(
                 "effects-differ",
-                f"{one.name!r} is {one.row['Effect']} here and {strictest.row['Effect']} in "
+                f"{class_row.name!r} is {class_row.row['Effect']} here and {strictest.row['Effect']} in "
                 f"{strictest.location.report.file}:"
                 f"{strictest.location.report.line((*strictest.location.path, 'Effect'))}",
-                "One of the two would send again what the other must not see twice",
-                f'Write "{strictest.row["Effect"]}" in both, or mend the other',
+                "One sidecar could repeat requests that must not run twice at the other",
+                f'Write "{strictest.row["Effect"]}" in both, or correct the other',
             )
 
 
 def _check_deadlines(same_name_rows: list[_ClassRow]) -> None:
-    """Inner calls are made within the time of the request above: more than that is never there."""
+    """Report deadlines longer than those of the outer tier, since inner calls run within the outer deadline."""
     for inner in same_name_rows:
         outer = [
             c for c in same_name_rows if c.tiers == inner.tiers and c.layer < inner.layer and "DeadlineUs" in c.row
@@ -84,8 +87,8 @@
         if inner.row["DeadlineUs"] > outer_row.row["DeadlineUs"]:
             (inner.location / "DeadlineUs").error(
                 "outlasts-tier-above",
-                f"{format_duration(inner.row['DeadlineUs'])}, and the tier above gives up after "
+                f"{format_duration(inner.row['DeadlineUs'])}, and the outer tier gives up after "
                 f"{format_duration(outer_row.row['DeadlineUs'])} ({outer_row.location.report.file})",
-                "The caller is gone before the time is up, and the work goes on for nobody",
-                "Write less here, or more there",
+                "The caller gives up before this deadline, and the rest of the work is wasted",
+                "Shorten this deadline, or lengthen that of the outer tier",
             )
--- a/eiderhub/config/load.py
+++ b/eiderhub/config/load.py
@@ -1,6 +1,6 @@
-"""From one sidecar's two files to all findings, and to the configuration that a sidecar starts from.
+"""Reads and checks one sidecar's two files and builds the configuration that the sidecar starts from.
 
-The checker, the start with an operator's file and every reload go through `examine`: what one accepts, all accept.
+The checker, the start with an operator's file and every reload call `examine`, so that all accept the same files.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 from eiderhub.schema.findings import Finding, Location, Report, sort_findings
 from eiderhub.sidecar.config import Config, ConfigError, config_from
 
-OPERATOR_TABLES = ("routing", "classes", "pools", "routes")  # those that make a plan
+OPERATOR_TABLES = ("routing", "classes", "pools", "routes")  # the tables that change the routing plan
 
 
 @dataclass(frozen=True)
 class ExaminedFiles:
-    """One sidecar's files as they were read, with all that was found."""
+    """One sidecar's parsed files, their findings and the resulting configuration."""
 
     pair: FilePair
-    document: Any  # the sidecar's file as it was decoded
-    config: Config | None  # None where there are errors, or no sidecar's file
+    document: Any  # the sidecar's file, decoded but not checked
+    config: Config | None  # None if there are errors or no sidecar's file
 
     @property
     def findings(self) -> list[Finding]:
@@ -39,7 +39,7 @@
 
 
 class SourceFile(NamedTuple):
-    """A file's name, and what stood in it at one moment: nothing is read twice."""
+    """A file's name and content. Each file is read once, so that all checks see the same content."""
 
     name: str
     content: bytes
@@ -54,7 +54,8 @@
 ) -> ExaminedFiles:
     """Check a sidecar's file, an operator's file, or both together.
 
-    `environ` stands above the file, as at a start; without it an address that only a start tells is no finding.
+    `environ` overrides the file, as it does when a sidecar starts. Without it, `listen` and `discovery` may be missing
+    from the file, since the environment may set them at the start.
     """
     sidecar_report = Report(sidecar.name if sidecar else "")
     operator_report = Report(operator.name if operator else "")
@@ -85,11 +86,15 @@
     return (parse_toml(text, report) if text is not None else None) or {}
 
 
-PLACEHOLDER_ADDRESSES = {"GW_LISTEN": "127.0.0.1:0", "GW_DISCOVERY": "127.0.0.1:1"}  # for files whose start tells these
+# For files without these addresses, which come from the environment at a start.
+PLACEHOLDER_ADDRESSES = {"GW_LISTEN": "127.0.0.1:0", "GW_DISCOVERY": "127.0.0.1:1"}
 
 
 def _build_config(decoded: Any, pair: FilePair, environ: Mapping[str, str] | None) -> Config | None:
-    """What a sidecar starts from; whatever its own reading still refuses is a finding like the others."""
+    """Return the configuration that a sidecar starts from, or None.
+
+    An error that only the sidecar's own parser detects becomes a finding like the others.
+    """
     if environ is None:
         environ = {key: value for key, value in PLACEHOLDER_ADDRESSES.items() if key[3:].lower() not in decoded}
     try:
@@ -102,14 +107,14 @@
             fleet=_fleet_options(decoded, pair, config.name),
         )
     except (ConfigError, ValueError) as error:
-        pair.sidecar.error("start", str(error), "No sidecar starts from it", "Mend it")
+        pair.sidecar.error("start", str(error), "No sidecar starts from it", "Correct the value")
         return None
 
 
 def make_plan(pair: FilePair, config: Config) -> Plan:
     if not any(name in pair.tables for name in OPERATOR_TABLES):
         return default_plan(config.settings)
-    from eiderhub.routing import options  # off where the file says nothing of it
+    from eiderhub.routing import options  # imported only if the file configures it
 
     return options.make_plan(pair.tables, config.settings)
 
@@ -117,7 +122,7 @@
 def _thrift_options(pair: FilePair) -> Any:
     if "thrift" not in pair.tables:
         return None
-    from eiderhub.protocols.thrift import options  # off where the file says nothing of it
+    from eiderhub.protocols.thrift import options  # imported only if the file configures it
 
     return options.listener(pair.tables)
 
@@ -125,7 +130,7 @@
 def _consul_options(pair: FilePair) -> Any:
     if "consul" not in pair.tables:
         return None
-    from eiderhub.membership.consul import options  # off where the file says nothing of it
+    from eiderhub.membership.consul import options  # imported only if the file configures it
 
     return options.read_options(pair.tables)
 
@@ -133,13 +138,13 @@
 def _fleet_options(decoded: dict[str, Any], pair: FilePair, name: str) -> Any:
     if "fleet" not in pair.tables:
         return None
-    from eiderhub.fleet import options  # off where the file says nothing of it
+    from eiderhub.fleet import options  # imported only if the file configures it
 
     return options.member_options(decoded, pair.tables, name)
 
 
 def load_checked(environ: Mapping[str, str], operator: str | None) -> Config:
-    """The configuration for a start or a reload. Raises `ConfigError` with the first error that was found."""
+    """Return the configuration for a start or a reload. Raises `ConfigError` with the first error that was found."""
     path = environ.get("GW_CONFIG")
     if not path:
         raise ConfigError("GW_CONFIG: missing")
--- a/eiderhub/config/operator_file.py
+++ b/eiderhub/config/operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's file (TOML): one table for each feature, declared and checked by the package that owns it."""
+"""Reads the operator's file (TOML). It has one table per feature, which the feature's package declares and checks."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from eiderhub.schema.findings import Location
 from eiderhub.schema.value_types import INVALID, ValueType, did_you_mean
 
-# Which module owns a table. It is imported only where the file names one of its tables, so that what is off costs
-# nothing; it brings `TABLES` (what may stand there) and `check(pair)` (what is well-formed and wrong).
+# The module that owns each table. It is imported only if the file contains one of its tables, so that unused features
+# cost nothing. It provides `TABLES` (the declared keys) and `check(pair)` (checks of well-formed values).
 TABLE_MODULES = {
     "limits": "eiderhub.sidecar.options",
     "classes": "eiderhub.routing.options",
@@ -37,25 +37,25 @@
 
 
 def read_tables(document: dict[str, Any], location: Location) -> dict[str, Any]:
-    """The tables of a decoded file, each read by its owner; what can't be read is left out, with findings."""
+    """Return the tables of a decoded file, each read by its owner. Invalid tables are reported and left out."""
     tables = {}
     for name, value in document.items():
         if name not in TABLE_MODULES:
             (location / name).error(
                 "unknown-key",
-                "the table is not known",
-                "What it says would not be done",
+                "the table is unknown",
+                "It would have no effect",
                 did_you_mean(name, TABLE_MODULES),
             )
             continue
         try:
             kind = table_owner(name).TABLES[name]
-        except ModuleNotFoundError as error:  # of an extra of the package: eiderhub[consul]
+        except ModuleNotFoundError as error:  # an optional dependency, such as that of eiderhub[consul]
             (location / name).error(
                 "not-installed",
                 f"the table needs {error.name}, which is not installed",
                 "No sidecar starts from it",
-                f"Install eiderhub[{name}], or leave the table out",
+                f"Install eiderhub[{name}], or remove the table",
             )
             continue
         read = kind.read(value, location / name)
@@ -65,7 +65,7 @@
 
 
 def table_owners(document: dict[str, Any]) -> Iterator[TableOwner]:
-    """The owners of a file's tables, each once."""
+    """Yield the owners of a file's tables, each once."""
     for module in sorted({TABLE_MODULES[name] for name in document if name in TABLE_MODULES}):
-        with suppress(ModuleNotFoundError):  # told where its table was read
+        with suppress(ModuleNotFoundError):  # already reported by `read_tables`
             yield import_module(module)
--- a/eiderhub/config/sidecar_file.py
+++ b/eiderhub/config/sidecar_file.py
@@ -67,8 +67,8 @@
     return Choice(tuple(member.value for member in enum))
 
 
-def _optional(name: str, kind: ValueType, help: str, default: Any = None) -> Key:
-    return Key(name, kind, help, default)
+def _optional(name: str, value_type: ValueType, help: str, default: Any = None) -> Key:
+    return Key(name, value_type, help, default)
 
 
 ZONES = ListOf(Text(description="a zone's name"), 1000)
--- a/tests/config/test_tool.py
+++ b/tests/config/test_tool.py
@@ -1,4 +1,4 @@
-"""explain, diff, keys, and what shows only across files."""
+"""The subcommands explain, diff and keys, and the checks that need several files."""
 
 from __future__ import annotations
 
@@ -65,28 +65,28 @@
     )
 
 
-def test_explain_tells_what_may_be_done_by_effect(folder: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    reset, turned = (
+def test_explain_shows_the_permitted_actions_by_effect(folder: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    after_reset, after_refusal = (
         "after a reset or a time-out (it may have run)",
         "after being turned away or not connecting (it never ran)",
     )
     despacho = explained(folder, "POST /despacho/a", capsys)
-    assert despacho[reset] == "never send it again; fail (502 or 504), promising nothing"
-    assert despacho[turned] == "send it again to any endpoint, 3 attempts in all; then refuse (503)"
+    assert despacho[after_reset] == "never send it again; fail (502 or 504), as it may have run"
+    assert despacho[after_refusal] == "send it again to any endpoint, 3 attempts in all; then refuse (503)"
     reserva = explained(folder, "POST /reserva/a", capsys)
-    assert "within its cell alone for 3750ms" in reserva[reset]
-    assert reserva[reset].endswith("then fail (502 or 504), promising nothing")
+    assert "within its cell only for 3750ms" in reserva[after_reset]
+    assert reserva[after_reset].endswith("then fail (502 or 504), as it may have run")
 
 
 @pytest.mark.parametrize(
     ("request_line", "answer"),
     [
         ("GET /look/../despacho/a", "400: the target has a dot segment, or parameters without a name"),
-        ("GET /nothing/a", "404: no route takes it, and its first part names no class"),
-        ("POST /look/a", "405: its class takes GET alone"),
+        ("GET /nothing/a", "404: no route matches, and the first path segment names no class"),
+        ("POST /look/a", "405: its class accepts GET only"),
     ],
 )
-def test_explain_tells_what_is_refused(
+def test_explain_shows_refusals(
     request_line: str, answer: str, folder: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert explained(folder, request_line, capsys)["answer"] == answer
@@ -116,7 +116,7 @@
     assert explained(folder, "CALL /", capsys, *words)["route"] == "thrift"
 
 
-def test_explain_refuses_what_it_can_not_read(folder: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_explain_rejects_unreadable_requests_and_files(folder: Path, capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["explain", str(folder), "--request", "POST"]) == 2
     (folder / "operator.toml").write_text("[routing]\ndefault = 1\n")
     assert main(["explain", str(folder), "--request", "GET /look/a"]) == 1
@@ -129,7 +129,7 @@
     return {(row["subject"], row["what"]): (row["old"], row["new"], row["restart"]) for row in rows}
 
 
-def test_diff_tells_what_changes_and_what_needs_a_restart(
+def test_diff_lists_changes_and_which_need_a_restart(
     folder: Path, tmp_path_factory: pytest.TempPathFactory, capsys: pytest.CaptureFixture[str]
 ) -> None:
     new = tmp_path_factory.mktemp("new")
@@ -143,10 +143,10 @@
     )
     change(new / "sidecar.json", *changes)
     found = diffed(folder, new, capsys)
-    assert found["the sidecar", "asks for endpoints at"] == ("127.0.0.1:8500", "127.0.0.1:8600", False)
-    assert found["class look", "is wanted within"] == ("1s", "900ms", True)
+    assert found["the sidecar", "polls for endpoints at"] == ("127.0.0.1:8500", "127.0.0.1:8600", False)
+    assert found["class look", "has the latency objective"] == ("1s", "900ms", True)
     reset = "after a reset or a time-out (it may have run)"
-    assert found["class reserva", reset][1:] == ("never send it again; fail (502 or 504), promising nothing", True)
+    assert found["class reserva", reset][1:] == ("never send it again; fail (502 or 504), as it may have run", True)
     old, now, restart = found["route stock", reset]
     assert (old.startswith("send it again"), now.startswith("never"), restart) == (True, True, False)
     assert not any(subject == "class despacho" for subject, _ in found)
@@ -161,7 +161,7 @@
     assert "deadline       its time, where that is shorter than the class's" in fields
 
 
-def test_files_that_belong_together() -> None:
+def test_files_of_one_sidecar_are_grouped() -> None:
     assert group_files(["f/a.json", "f/a.toml", "f/b.json"]) == [
         FileGroup("f/a.json", "f/a.toml"),
         FileGroup("f/b.json", None),
@@ -176,7 +176,7 @@
 
 
 def findings_of_two(tmp_path: Path, *changes: tuple[tuple[str | int, ...], Any]) -> list[tuple[str, str]]:
-    """The findings of two applications, of which the second differs from the first in these things."""
+    """Return the folder and code of each finding of two applications; `changes` are made to the second one."""
     for name in ("one", "two"):
         (tmp_path / name).mkdir()
         shutil.copy(BASE, tmp_path / name / "sidecar.json")
@@ -187,29 +187,29 @@
 CATEGORIES = ("settings", "Categories")
 
 
-def test_two_applications_that_agree(tmp_path: Path) -> None:
+def test_two_consistent_applications_give_no_findings(tmp_path: Path) -> None:
     assert findings_of_two(tmp_path) == []
 
 
-def test_one_address_twice(tmp_path: Path) -> None:
+def test_two_applications_with_the_same_address(tmp_path: Path) -> None:
     assert findings_of_two(tmp_path, (("listen",), "127.0.0.1:7070")) == [("two", "same-address")]
 
 
 @pytest.mark.parametrize("name", ["look", "Look", "l%6fok"])
 def test_effects_that_differ_between_applications_and_tiers(tmp_path: Path, name: str) -> None:
-    """The weaker one is the finding, whichever file is read first and however the name is spelt."""
+    """The less strict class is reported, whichever file is read first and however its name is spelt."""
     changes = ((*CATEGORIES, 0, "Name"), name), ((*CATEGORIES, 0, "Effect"), "at_most_once")
     assert ("one", "effects-differ") in findings_of_two(tmp_path, *changes, (("settings", "Layer"), 1))
 
 
-def test_an_inner_tier_that_outlasts_the_one_above(tmp_path: Path) -> None:
+def test_an_inner_tier_with_a_longer_deadline_than_the_outer_tier(tmp_path: Path) -> None:
     inner = (("settings", "Layer"), 1), ((*CATEGORIES, 0, "DeadlineUs"), 3_500_000)
     assert findings_of_two(tmp_path, *inner) == [("two", "outlasts-tier-above")]
     (tmp_path / "again").mkdir()
     assert findings_of_two(tmp_path / "again", inner[0], ((*CATEGORIES, 0, "DeadlineUs"), 3_000_000)) == []
 
 
-def test_all_findings_come_at_once_and_sorted(tmp_path: Path) -> None:
+def test_all_findings_are_reported_in_one_run_and_sorted(tmp_path: Path) -> None:
     changes = (
         ((*CATEGORIES, 0, "AimUs"), 9_000_000),
         (("limits", "memory_mb"), 8),
@@ -243,18 +243,18 @@
 """
 
 
-def test_explain_tells_what_becomes_of_a_thrift_call(folder: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_explain_shows_how_a_thrift_call_is_handled(folder: Path, capsys: pytest.CaptureFixture[str]) -> None:
     (folder / "operator.toml").write_text(ROUTES + THRIFT)
     fields = explained(folder, "Invoice:issue", capsys, "--protocol", "thrift")
     assert (fields["route"], fields["class"]) == ("issue", "despacho")
     by_name = explained(folder, "despacho", capsys, "--protocol", "thrift")
     assert by_name["route"] == "the default: the method's name is its class"
     nothing = explained(folder, "Invoice:undo", capsys, "--protocol", "thrift")
-    assert nothing["answer"] == "exception 1: no route takes it, and its method names no class"
+    assert nothing["answer"] == "exception 1: no route matches, and the method names no class"
     assert main(["explain", str(folder), "--request", "no call", "--protocol", "thrift"]) == 2
 
 
-def test_diff_tells_that_a_change_of_the_thrift_port_needs_a_restart(
+def test_diff_shows_that_a_change_of_the_thrift_port_needs_a_restart(
     folder: Path, tmp_path_factory: pytest.TempPathFactory, capsys: pytest.CaptureFixture[str]
 ) -> None:
     (folder / "operator.toml").write_text(ROUTES + THRIFT)
@@ -266,7 +266,9 @@
     assert [(d["subject"], d["old"], d["new"], d["restart"]) for d in found] == [("the Thrift port", "77", "78", True)]
 
 
-def test_a_description_s_thrift_port_is_written_and_checked(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_thrift_port_of_a_description_is_written_and_checked(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     description = (Path(__file__).parent.parent / "corpus" / "bad" / "effect-declared--description.toml").read_text()
     sound = description.rpartition("harmless")[0] + 'never"\n[tenants]\nacme = 1.0\n' + THRIFT
     path = tmp_path / "shop.toml"
