--- a/eiderhub/config/command.py
+++ b/eiderhub/config/command.py
@@ -92,11 +92,11 @@
     if (options.description is None) == (options.fleet is None):
         print("eiderhub config write: give either a description or --fleet FILE", file=sys.stderr)
         return 2
-    made = write(options.description or options.fleet, options.out)
-    _print_findings(made.findings)
-    for name in made.files:
+    generated = write(options.description or options.fleet, options.out)
+    _print_findings(generated.findings)
+    for name in generated.files:
         print(f"wrote {options.out}/{name}")
-    return 0 if made.is_valid else 1
+    return 0 if generated.is_valid else 1
 
 
 def _check(options: argparse.Namespace) -> int:
@@ -104,14 +104,16 @@
     status = result.status
     if options.strict and result.findings:
         status = max(status, 1)
-    probed = _probe(result) if options.probe else []
-    if not all(one.sound for one in probed):
+    probe_results = _probe(result) if options.probe else []
+    if not all(one.sound for one in probe_results):
         status = max(status, 1)
     if options.json:
-        print(json.dumps(_result_as_json(result, status) | {"probes": [one._asdict() for one in probed]}, indent=2))
+        print(
+            json.dumps(_result_as_json(result, status) | {"probes": [one._asdict() for one in probe_results]}, indent=2)
+        )
         return status
     _print_findings(result.findings)
-    for one in probed:
+    for one in probe_results:
         print(one)
     for reason in result.unreadable:
         print(f"can't be read: {reason}")
--- a/eiderhub/config/consistency.py
+++ b/eiderhub/config/consistency.py
@@ -25,11 +25,11 @@
     """Report duplicate addresses, and classes of the same name with conflicting effects or deadlines."""
     _check_addresses(examined)
     classes: dict[str, list[_ClassRow]] = {}
-    for one in examined:
-        settings = one.pair.settings
-        for i, row in enumerate(one.pair.categories):
+    for examined_files in examined:
+        settings = examined_files.pair.settings
+        for i, row in enumerate(examined_files.pair.categories):
             if "Name" in row and "Effect" in row:
-                location = one.pair.sidecar / "settings" / "Categories" / i
+                location = examined_files.pair.sidecar / "settings" / "Categories" / i
                 tiers = tuple(settings.get("Tiers") or [""])
                 found = _ClassRow(row["Name"], row, location, settings.get("Layer", 0), tiers)
                 classes.setdefault(fold_name(row["Name"]), []).append(found)
@@ -40,13 +40,13 @@
 
 def _check_addresses(examined: Sequence[ExaminedFiles]) -> None:
     files_by_address: dict[str, str] = {}
-    for one in examined:
-        listen = one.pair.document.get("listen")
+    for examined_files in examined:
+        listen = examined_files.pair.document.get("listen")
         if not listen or listen.endswith(":0"):
             continue
-        file = one.pair.sidecar.report.file
+        file = examined_files.pair.sidecar.report.file
         if listen in files_by_address:
-            (one.pair.sidecar / "listen").error(
+            (examined_files.pair.sidecar / "listen").error(
                 "same-address",
                 f"{listen} is used by {files_by_address[listen]} as well",
                 "The second sidecar would not start",
--- a/eiderhub/config/sidecar_file.py
+++ b/eiderhub/config/sidecar_file.py
@@ -237,14 +237,14 @@
         location.error("no-classes", "no class is declared", "No sidecar starts from it", "Declare at least one class")
     seen: dict[str, tuple[int, dict[str, Any]]] = {}
     for i, row in enumerate(rows):
-        own = location / i
+        row_location = location / i
         name = row.get("Name", "")
-        _check_times(row, own, settings.get("Allowed", {}))
-        _check_effect(name, row, own)
-        _check_class_name(name, own / "Name")
+        _check_times(row, row_location, settings.get("Allowed", {}))
+        _check_effect(name, row, row_location)
+        _check_class_name(name, row_location / "Name")
         other = seen.setdefault(fold_name(name), (i, row))
         if name and other[1] is not row:
-            _check_same_name(name, row, other[1], own / "Name")
+            _check_same_name(name, row, other[1], row_location / "Name")
 
 
 def _check_same_name(name: str, row: dict[str, Any], other: dict[str, Any], location: Location) -> None:
@@ -419,7 +419,7 @@
         (location / "memory_mb").warn(
             "memory",
             f"{memory:g} MB",
-            "Requests with large bodies are soon refused with 503",
+            "The buffer limit is reached early, and requests are refused with 503",
             f"Give it {RECOMMENDED_MEMORY_MB} MB or more",
         )
     if sockets < MIN_SOCKETS:
--- a/tests/config/serving.py
+++ b/tests/config/serving.py
@@ -1,4 +1,4 @@
-"""Starts the real program on a configuration and sends one request through each way that it has into a class."""
+"""Starts the real program with a configuration and sends one example request through each route and each class path."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 from standins.http import read_message, request
 from standins.program import running
 
-MAX_EXAMPLES = 6  # of one configuration
-MARGIN_S = 0.06  # answers leave so long before it
-MAX_LATE_ANSWERS = 4  # requests through one way that a busy machine held up past the time of their class
+MAX_EXAMPLES = 6  # per configuration
+MARGIN_S = 0.06  # a failure may be answered up to this long before the latency objective
+MAX_LATE_ANSWERS = 4  # per example: on a busy machine an answer may miss its deadline
 
 
 class ExampleRequest(NamedTuple):
-    """A request that a configuration serves, and the class that it must be of."""
+    """A request that a configuration serves, and its expected class."""
 
     target: str
     headers: dict[str, str]
@@ -51,7 +51,7 @@
             try:
                 segments = segments_of(path.encode())
             except ValueError:
-                continue  # no path can name it: the checker warns of that
+                continue  # no path can contain the name; the checker warns of that
             if segments[0] == name:
                 yield ExampleRequest(
                     path,
@@ -61,7 +61,7 @@
 
 
 def _matching_class(plan: Plan, route: Route, target: str, headers: dict[str, str]) -> RequestClass:
-    """The class of a route's example: another route may be narrower and take it."""
+    """Return the class of a route's example request. Another, narrower route may match it."""
     path, _, query = target.partition("?")
     header_values = {name.lower().encode(): value.encode() for name, value in headers.items()}
     method = METHOD[plan.classes_by_route[route.name].effect]
@@ -72,7 +72,7 @@
 
 
 def rows_for(config: Config, address: str) -> list[dict[str, Any]]:
-    """One endpoint, listed once for each set of facts that some class asks for."""
+    """Return entries for one endpoint, one for each class, with the zone, kind and labels that the class requires."""
     rows = [row("s-0", address, zone=config.settings.zone)]
     for i, request_class in enumerate(config.plan.settings.classes if config.plan else ()):
         zone = sorted(request_class.allowed_zones)[0] if request_class.allowed_zones else config.settings.zone
@@ -83,7 +83,7 @@
 
 
 async def serve_through(document: dict[str, Any], operator: str | None) -> int:
-    """Start the program, send a request through every way, and return how many were served. Asserts on each."""
+    """Start the program, send every example request, and return how many were served. Asserts on each answer."""
     texts = (json.dumps(document).encode(), (operator or "").encode())
     examined = examine(SourceFile("sidecar.json", texts[0]), SourceFile("operator.toml", texts[1]))
     assert examined.config is not None, examined.errors
@@ -100,7 +100,7 @@
     with tempfile.TemporaryDirectory() as folder:
         async with running(Path(folder), document_with_discovery, operator) as (_, host, port):
             async with asyncio.timeout(5):
-                while not discovery.request_count:  # the known list may be old, and is polled for later
+                while not discovery.request_count:  # the known list may be outdated until the first poll
                     await asyncio.sleep(0.005)
             for example in list(example_requests(plan))[:MAX_EXAMPLES]:
                 for _ in range(MAX_LATE_ANSWERS + 1):
@@ -111,12 +111,12 @@
                     late.add(name)
     endpoint.stop()
     discovery.stop()
-    assert {name for _, name in ledger.runs} - late == served  # second copies of harmless ones may have run as well
+    assert {name for _, name in ledger.runs} - late == served  # hedges of harmless requests may have run too
     return len(served)
 
 
 async def _send(host: str, port: int, example: ExampleRequest, name: str, config: Config) -> bool:
-    """Whether it was served: the one other end is a failure, or a refusal, once the time of its class was over."""
+    """Return whether the request was served. Any other answer must be a 502, 503 or 504 after the latency objective."""
     tenant = config.settings.tenants[0].name if config.settings.tenants else "nobody"
     headers = {"Host": "a", "Req-Id": name, "Req-Owner": tenant, "Req-Deadline-Ms": "5000", **example.headers}
     if example.request_class.effect is Effect.DEDUPLICATED:
--- a/tests/config/test_directions.py
+++ b/tests/config/test_directions.py
@@ -1,4 +1,4 @@
-"""Both directions: what the checker accepts starts, and what starts and keeps the rules is not refused."""
+"""The checker and the sidecar agree: accepted files start, and the checker accepts valid files that start."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 BASE: dict[str, Any] = json.loads((Path(__file__).parent.parent / "corpus" / "base.json").read_text())
 
 
-def errors_of(document: Any) -> list[str]:
+def error_codes(document: Any) -> list[str]:
     found = examine(SourceFile("x.json", json.dumps(document).encode()), None)
     assert (found.config is None) == bool(found.errors)
     return [finding.code for finding in found.errors]
 
 
 def starts(document: Any) -> bool:
-    """Whether the program's own reading takes it, and the module can be made and started on it."""
+    """Return whether the program's own parser accepts the document and the decision module starts with it."""
     environ = {key: value for key, value in PLACEHOLDER_ADDRESSES.items() if key[3:].lower() not in document}
     try:
         config = config_from(document, environ)
@@ -36,50 +36,69 @@
     return True
 
 
-def places(value: object, path: tuple[str | int, ...] = ()) -> list[tuple[str | int, ...]]:
+def key_paths(value: object, path: tuple[str | int, ...] = ()) -> list[tuple[str | int, ...]]:
     found = [path] if path else []
     steps = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     for step, inner in steps:
-        found += places(inner, (*path, step))
+        found += key_paths(inner, (*path, step))
     return found
 
 
-PLACES = places(BASE)
-ODD = [None, True, False, 0, 1, -1, 0.5, 10**30, 2**53, "", "x", "127.0.0.1:1", [], ["a"], {}, {"a": 1}, "a\nb", "GET"]
+KEY_PATHS = key_paths(BASE)
+ODD_VALUES = [
+    None,
+    True,
+    False,
+    0,
+    1,
+    -1,
+    0.5,
+    10**30,
+    2**53,
+    "",
+    "x",
+    "127.0.0.1:1",
+    [],
+    ["a"],
+    {},
+    {"a": 1},
+    "a\nb",
+    "GET",
+]
 
 
 @st.composite
-def mutated(draw: st.DrawFn) -> Any:
-    """The base document with some values replaced or left out."""
+def mutated_documents(draw: st.DrawFn) -> Any:
+    """Draw the base document with some values replaced or removed."""
     document = copy.deepcopy(BASE)
-    for path in draw(st.lists(st.sampled_from(PLACES), min_size=1, max_size=3)):
+    for path in draw(st.lists(st.sampled_from(KEY_PATHS), min_size=1, max_size=3)):
         inner: Any = document
         try:
             for step in path[:-1]:
                 inner = inner[step]
             if draw(st.booleans()):
-                inner[path[-1]] = draw(st.sampled_from(ODD))
+                inner[path[-1]] = draw(st.sampled_from(ODD_VALUES))
             else:
                 del inner[path[-1]]
         except (KeyError, IndexError, TypeError):
-            continue  # an earlier change took the place away
+            continue  # an earlier change removed the parent
     return document
 
 
-@given(mutated())
+@given(mutated_documents())
 @settings(max_examples=1500)
-def test_what_the_checker_accepts_starts(document: Any) -> None:
-    if not errors_of(document):
+def test_accepted_documents_start(document: Any) -> None:
+    if not error_codes(document):
         assert starts(document)
 
 
 @st.composite
-def from_the_platform(draw: st.DrawFn) -> dict[str, Any]:
-    """Documents as the platform hands them out: any sound figures, and keys that the sidecar has no use for."""
-    us = st.integers(50_000, 10_000_000)
+def platform_documents(draw: st.DrawFn) -> dict[str, Any]:
+    """Draw documents as the platform writes them: valid values, and keys that the sidecar does not use."""
+    durations_us = st.integers(50_000, 10_000_000)
     request_classes = []
     for i in range(draw(st.integers(1, 4))):
-        objective_us = draw(us)
+        objective_us = draw(durations_us)
         effect = draw(st.sampled_from(["idempotent", "deduplicated", "at_most_once"]))
         request_classes.append(
             {
@@ -119,8 +138,9 @@
         },
         "settings": {
             "Allowed": {
-                "ConnIdleUs": draw(us), "ConnectTimeoutUs": 250_000, "CpuUsPerRequest": 0.0, "CpuUsPerS": 7_088_004,
-                "MaxAttempts": draw(st.integers(1, 6)), "MaxOpen": 177_200, "MaxRetryAfterUs": draw(us),
+                "ConnIdleUs": draw(durations_us), "ConnectTimeoutUs": 250_000, "CpuUsPerRequest": 0.0,
+                "CpuUsPerS": 7_088_004,
+                "MaxAttempts": draw(st.integers(1, 6)), "MaxOpen": 177_200, "MaxRetryAfterUs": draw(durations_us),
                 "MayCancel": True, "Multiplex": 1, "Peers": False, "Probing": False, "RetryAfter": True,
                 "SecondCopies": draw(st.booleans()),
             },
@@ -150,17 +170,17 @@
     }  # fmt: skip
 
 
-@given(from_the_platform())
+@given(platform_documents())
 @settings(max_examples=200)
-def test_what_starts_and_keeps_the_rules_is_not_refused(document: dict[str, Any]) -> None:
+def test_valid_documents_of_the_platform_start_and_are_accepted(document: dict[str, Any]) -> None:
     assert starts(document)
-    assert errors_of(document) == []
+    assert error_codes(document) == []
 
 
 @pytest.mark.parametrize("key", ["Peer5", "Zonal", "Zeitgeist"])
-def test_a_new_key_of_the_platform_is_a_warning_and_a_misspelt_one_an_error(key: str) -> None:
+def test_an_unknown_key_is_a_warning_and_a_misspelt_one_an_error(key: str) -> None:
     document = copy.deepcopy(BASE)
     document["settings"][key] = 1
-    assert errors_of(document) == []
+    assert error_codes(document) == []
     document["settings"]["Balancer"] = 1
-    assert errors_of(document) == ["unknown-key"]
+    assert error_codes(document) == ["unknown-key"]
--- a/tests/config/test_tool.py
+++ b/tests/config/test_tool.py
@@ -45,15 +45,15 @@
     path.write_text(json.dumps(document, indent=1))
 
 
-def explained(folder: Path, request: str, capsys: pytest.CaptureFixture[str], *words: str) -> dict[str, str]:
-    assert main(["explain", str(folder), "--request", request, "--json", *words]) == 0
+def explain_request(folder: Path, request: str, capsys: pytest.CaptureFixture[str], *arguments: str) -> dict[str, str]:
+    assert main(["explain", str(folder), "--request", request, "--json", *arguments]) == 0
     found: dict[str, str] = json.loads(capsys.readouterr().out)
     return found
 
 
 @pytest.mark.parametrize("path", ["/stock/7", "/Stock/7/", "/st%6fck/7?x=1"])
 def test_explain_names_route_class_and_pool(path: str, folder: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    fields = explained(folder, f"GET {path}", capsys)
+    fields = explain_request(folder, f"GET {path}", capsys)
     assert (fields["route"], fields["class"], fields["pool"], fields["given up after"]) == (
         "stock",
         "look",
@@ -70,10 +70,10 @@
         "after a reset or a time-out (it may have run)",
         "after being turned away or not connecting (it never ran)",
     )
-    despacho = explained(folder, "POST /despacho/a", capsys)
+    despacho = explain_request(folder, "POST /despacho/a", capsys)
     assert despacho[after_reset] == "never send it again; fail (502 or 504), as it may have run"
     assert despacho[after_refusal] == "send it again to any endpoint, 3 attempts in all; then refuse (503)"
-    reserva = explained(folder, "POST /reserva/a", capsys)
+    reserva = explain_request(folder, "POST /reserva/a", capsys)
     assert "within its cell only for 3750ms" in reserva[after_reset]
     assert reserva[after_reset].endswith("then fail (502 or 504), as it may have run")
 
@@ -89,7 +89,7 @@
 def test_explain_shows_refusals(
     request_line: str, answer: str, folder: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert explained(folder, request_line, capsys)["answer"] == answer
+    assert explain_request(folder, request_line, capsys)["answer"] == answer
 
 
 def test_explain_takes_tenant_headers_and_services(folder: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -109,11 +109,11 @@
 call = "commit"
 """
     (folder / "operator.toml").write_text(ROUTES + more)
-    words = ["--tenant", "acme", "--header", "X-Kind=Deep"]
-    assert explained(folder, "GET /stock/7", capsys, *words)["route"] == "deep"
-    assert explained(folder, "GET /stock/7", capsys, *words[:2])["route"] == "stock"
-    words = ["--protocol", "thrift", "--service", "Orders", "--call", "commit"]
-    assert explained(folder, "CALL /", capsys, *words)["route"] == "thrift"
+    arguments = ["--tenant", "acme", "--header", "X-Kind=Deep"]
+    assert explain_request(folder, "GET /stock/7", capsys, *arguments)["route"] == "deep"
+    assert explain_request(folder, "GET /stock/7", capsys, *arguments[:2])["route"] == "stock"
+    arguments = ["--protocol", "thrift", "--service", "Orders", "--call", "commit"]
+    assert explain_request(folder, "CALL /", capsys, *arguments)["route"] == "thrift"
 
 
 def test_explain_rejects_unreadable_requests_and_files(folder: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -123,7 +123,9 @@
     assert "[value]" in capsys.readouterr().out
 
 
-def diffed(old: Path, new: Path, capsys: pytest.CaptureFixture[str]) -> dict[tuple[str, str], tuple[str, str, bool]]:
+def find_differences(
+    old: Path, new: Path, capsys: pytest.CaptureFixture[str]
+) -> dict[tuple[str, str], tuple[str, str, bool]]:
     assert main(["diff", str(old), str(new), "--json"]) == 0
     rows = json.loads(capsys.readouterr().out)
     return {(row["subject"], row["what"]): (row["old"], row["new"], row["restart"]) for row in rows}
@@ -134,7 +136,7 @@
 ) -> None:
     new = tmp_path_factory.mktemp("new")
     shutil.copytree(folder, new, dirs_exist_ok=True)
-    assert diffed(folder, new, capsys) == {}
+    assert find_differences(folder, new, capsys) == {}
     (new / "operator.toml").write_text(ROUTES.replace("attempts = 2", "attempts = 1"))
     changes = (
         (("discovery",), "127.0.0.1:8600"),
@@ -142,7 +144,7 @@
         (("settings", "Categories", 1, "Effect"), "at_most_once"),
     )
     change(new / "sidecar.json", *changes)
-    found = diffed(folder, new, capsys)
+    found = find_differences(folder, new, capsys)
     assert found["the sidecar", "polls for endpoints at"] == ("127.0.0.1:8500", "127.0.0.1:8600", False)
     assert found["class look", "has the latency objective"] == ("1s", "900ms", True)
     reset = "after a reset or a time-out (it may have run)"
@@ -245,12 +247,12 @@
 
 def test_explain_shows_how_a_thrift_call_is_handled(folder: Path, capsys: pytest.CaptureFixture[str]) -> None:
     (folder / "operator.toml").write_text(ROUTES + THRIFT)
-    fields = explained(folder, "Invoice:issue", capsys, "--protocol", "thrift")
+    fields = explain_request(folder, "Invoice:issue", capsys, "--protocol", "thrift")
     assert (fields["route"], fields["class"]) == ("issue", "despacho")
-    by_name = explained(folder, "despacho", capsys, "--protocol", "thrift")
+    by_name = explain_request(folder, "despacho", capsys, "--protocol", "thrift")
     assert by_name["route"] == "the default: the method's name is its class"
-    nothing = explained(folder, "Invoice:undo", capsys, "--protocol", "thrift")
-    assert nothing["answer"] == "exception 1: no route matches, and the method names no class"
+    unknown_method = explain_request(folder, "Invoice:undo", capsys, "--protocol", "thrift")
+    assert unknown_method["answer"] == "exception 1: no route matches, and the method names no class"
     assert main(["explain", str(folder), "--request", "no call", "--protocol", "thrift"]) == 2
 
 
--- a/tests/config/test_write.py
+++ b/tests/config/test_write.py
@@ -1,4 +1,4 @@
-"""What the writer makes: sound, stable, and served by the real program, whatever sound description comes in."""
+"""Generated files are valid and reproducible, and the real program serves requests with them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 REPOSITORY = Path(__file__).parents[2]
 DESCRIPTION_COUNT = 200
-MAX_CONCURRENT_PROGRAMS = 8  # programs that are started side by side
+MAX_CONCURRENT_PROGRAMS = 8
 
 names = st.text("abcdefghijklmnopqrstuvwxyz0123456789-_", min_size=1, max_size=8).map(lambda name: "n" + name)
 milliseconds = st.integers(200, 4000)
@@ -52,7 +52,7 @@
 
 @st.composite
 def descriptions(draw: st.DrawFn) -> dict[str, Any]:
-    """Sound ones: times in order, shares up to 1, routes on paths of their own."""
+    """Valid descriptions: objectives below deadlines, shares that add up to 1 or less, routes on distinct paths."""
     request_classes = draw(st.dictionaries(names, classes(), min_size=1, max_size=4))
     flag: st.SearchStrategy[bool] = st.booleans()
     tiers = draw(st.lists(names, min_size=1, max_size=3, unique=True))
@@ -113,7 +113,7 @@
     return "\n".join(lines) + "\n"
 
 
-def test_everything_written_from_200_random_descriptions_starts_and_serves() -> None:
+def test_files_generated_from_200_random_descriptions_start_and_serve() -> None:
     drawn: list[dict[str, Any]] = []
 
     @settings(max_examples=DESCRIPTION_COUNT, phases=[Phase.generate], suppress_health_check=list(HealthCheck))
@@ -124,25 +124,25 @@
     draw()
     assert len(drawn) >= DESCRIPTION_COUNT
 
-    async def serve(description: dict[str, Any], gate: asyncio.Semaphore, folder: Path) -> None:
+    async def serve(description: dict[str, Any], semaphore: asyncio.Semaphore, folder: Path) -> None:
         path = folder / "d.toml"
         path.write_text(text_of(description))
         generated = generate(str(path))
         assert generated.is_valid, (generated.findings, path.read_text())
-        own, theirs = generated.files.values()
-        async with gate:
-            assert await serve_through(json.loads(own), theirs.decode()) > 0
+        sidecar_content, operator_content = generated.files.values()
+        async with semaphore:
+            assert await serve_through(json.loads(sidecar_content), operator_content.decode()) > 0
 
-    async def all_of_them() -> None:
-        gate = asyncio.Semaphore(MAX_CONCURRENT_PROGRAMS)
+    async def serve_all() -> None:
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_PROGRAMS)
         with tempfile.TemporaryDirectory() as folder:
             async with asyncio.TaskGroup() as group:
                 for i, description in enumerate(drawn):
-                    own = Path(folder) / str(i)
-                    own.mkdir()
-                    group.create_task(serve(description, gate, own))
+                    program_folder = Path(folder) / str(i)
+                    program_folder.mkdir()
+                    group.create_task(serve(description, semaphore, program_folder))
 
-    asyncio.run(all_of_them())
+    asyncio.run(serve_all())
 
 
 @given(descriptions())
@@ -154,23 +154,23 @@
         assert generate(str(path)).files == generate(str(path)).files
 
 
-def test_the_platforms_two_tiers_are_written_and_pass(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    """The main job: some twenty lines an application, and files that a sidecar serves on."""
+def test_the_platforms_two_tiers_are_generated_and_valid(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    """The main use: about twenty lines per application give files that a sidecar starts from and serves with."""
     description = REPOSITORY / "deploy" / "descriptions" / "santiago-central.toml"
     assert main(["write", "--fleet", str(description), "--out", str(tmp_path)]) == 0
     assert main(["check", "--strict", str(tmp_path)]) == 0
     assert capsys.readouterr().out.endswith("4 files: 0 errors, 0 warnings\n")
-    for name, rank, tries in (("pedidos", 0, 3), ("bodega", 1, 2)):
+    for name, rank, attempt_limit in (("pedidos", 0, 3), ("bodega", 1, 2)):
         document = json.loads((tmp_path / name / "sidecar.json").read_text())
-        told = document["settings"]
-        assert (told["Layer"], told["Allowed"]["MaxAttempts"]) == (rank, tries)
-        effects = {row["Name"]: row["Effect"] for row in told["Categories"]}
+        settings_table = document["settings"]
+        assert (settings_table["Layer"], settings_table["Allowed"]["MaxAttempts"]) == (rank, attempt_limit)
+        effects = {row["Name"]: row["Effect"] for row in settings_table["Categories"]}
         assert effects == {"reserva": "deduplicated", "despacho": "at_most_once"}
         operator = (tmp_path / name / "operator.toml").read_text()
         assert asyncio.run(serve_through(document, operator)) == 2
 
 
-def test_values_are_derived_with_their_reasons(tmp_path: Path) -> None:
+def test_derived_values_have_notes_with_their_reasons(tmp_path: Path) -> None:
     write(str(REPOSITORY / "deploy" / "descriptions" / "santiago-central.toml"), str(tmp_path))
     document = json.loads((tmp_path / "pedidos" / "sidecar.json").read_text())
     reserva = document["settings"]["Categories"][0]
@@ -179,7 +179,7 @@
     assert document["settings"]["Parties"][0]["QuotaPerS"] == pytest.approx(420 * 0.43)
 
 
-def test_windows_and_attempts() -> None:
+def test_deduplication_windows_and_attempt_limits() -> None:
     assert dedup_window_us(4_000_000, 250_000) == 3_750_000
     assert fitting_attempts([6_000_000, 2_500_000], 250_000, 0) == 3
     assert fitting_attempts([6_000_000, 2_500_000], 250_000, 1) == 2
@@ -187,7 +187,7 @@
     assert fitting_attempts([100_000], 250_000, 0) == 1
 
 
-def test_a_writer_leaves_the_old_files_where_the_new_ones_are_not_sound(tmp_path: Path) -> None:
+def test_the_old_files_stay_if_the_new_ones_have_errors(tmp_path: Path) -> None:
     path = tmp_path / "d.toml"
     text = (REPOSITORY / "standins" / "demo.toml").read_text()
     path.write_text(text)
@@ -199,7 +199,7 @@
     assert sorted(p.name for p in (tmp_path / "demo").iterdir()) == ["operator.toml", "sidecar.json"]
 
 
-def test_a_description_is_checked_like_the_files_made_of_it(tmp_path: Path) -> None:
+def test_findings_of_generated_files_point_into_the_description(tmp_path: Path) -> None:
     path = tmp_path / "d.toml"
     text = (REPOSITORY / "standins" / "demo.toml").read_text()
     path.write_text(text.replace('path = "/catalogo/partes"', 'path = "/despacho/*"'))
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""The program with an operator's file: starts, refusals, and reloads that take effect whole or not at all."""
+"""The program with an operator's file: valid and invalid starts, and reloads, which apply completely or not at all."""
 
 from __future__ import annotations
 
@@ -38,16 +38,16 @@
 
 
 async def status(running: Program, target: str, number: int) -> int:
-    """Ask on a connection of its own; an endpoint that is reached answers 200."""
+    """Send a request on a new connection and return its status. An endpoint that receives it answers 200."""
     client = await running.client()
     client.writer.write(GET.format(target, f"r{number}").encode())
     answer = asyncio.create_task(client.answer())
-    asked = asyncio.create_task(running.endpoint.next())
-    await asyncio.wait((answer, asked), return_when=asyncio.FIRST_COMPLETED)
-    if asked.done():
-        asked.result().reply()
+    received = asyncio.create_task(running.endpoint.next())
+    await asyncio.wait((answer, received), return_when=asyncio.FIRST_COMPLETED)
+    if received.done():
+        received.result().reply()
     else:
-        asked.cancel()
+        received.cancel()
     return (await answer).status
 
 
@@ -66,8 +66,8 @@
     run(test())
 
 
-def test_a_reload_that_the_checker_refuses_changes_nothing(tmp_path: Path) -> None:
-    """Two faults, of which the first is logged as the checker words it; a good change beside them is not taken."""
+def test_a_reload_with_errors_changes_nothing(tmp_path: Path) -> None:
+    """The first of two errors is logged in the checker's words, and a valid change in the same file is not applied."""
 
     async def test() -> None:
         operator_file = OperatorFile(tmp_path)
@@ -81,7 +81,7 @@
     run(test())
 
 
-def test_a_reload_that_needs_a_restart_is_refused_whole(tmp_path: Path) -> None:
+def test_a_reload_that_needs_a_restart_changes_nothing(tmp_path: Path) -> None:
     async def test() -> None:
         operator_file = OperatorFile(tmp_path)
         async with program(tmp_path, {}, *operator_file.arguments) as running:
@@ -96,19 +96,19 @@
     run(test())
 
 
-def test_what_is_in_flight_at_a_reload_ends_under_the_class_it_was_taken_with(tmp_path: Path) -> None:
-    """The route's class was safe to repeat; after the reload the same path is unsafe. Neither rule is mixed."""
+def test_a_request_in_flight_at_a_reload_keeps_its_class(tmp_path: Path) -> None:
+    """Guards against mixed classes: the route's class is safe to repeat before the reload and unsafe after it."""
 
     async def test() -> None:
         operator_file = OperatorFile(tmp_path)
         async with program(tmp_path, {}, *operator_file.arguments) as running:
             client = await running.client()
             client.writer.write(GET.format("/stock/7", "r1").encode())
-            asked = await running.endpoint.next()
+            received = await running.endpoint.next()
             await operator_file.reload(running, TABLES.replace('"look"', '"pay"'), "the configuration is taken")
             assert await status(running, "/stock/8", 2) == 405
-            asked.reset()
-            # It was `look`, which may be refused after it may have run; `pay` may not, and would be a 502.
+            received.reset()
+            # `look` may be refused even after it may have run; `pay` may not, and would be answered with 502.
             assert (await client.answer()).status == 503
 
     run(test())
@@ -122,7 +122,9 @@
         (None, "No such file"),
     ],
 )
-def test_a_bad_operators_file_ends_the_start_with_one_line(tmp_path: Path, text: str | None, expected: str) -> None:
+def test_an_invalid_operators_file_fails_the_start_with_one_line(
+    tmp_path: Path, text: str | None, expected: str
+) -> None:
     path = tmp_path / "operator.toml"
     if text is not None:
         path.write_text(text)
@@ -136,8 +138,8 @@
     assert expected in errors
 
 
-def test_what_is_off_is_not_imported() -> None:
-    """A plain sidecar carries nothing of the tools; checked in a process of its own."""
+def test_unused_features_are_not_imported() -> None:
+    """A sidecar without an operator's file imports none of these modules; checked in a separate process."""
     code = (
         "import sys, eiderhub.sidecar.__main__; "
         "bad = [m for m in sys.modules if m.startswith(('eiderhub.config', 'eiderhub.schema', "
@@ -150,7 +152,7 @@
     assert (done.returncode, done.stdout) == (0, "[]\n")
 
 
-def test_the_command_tells_its_use(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_command_prints_its_usage(capsys: pytest.CaptureFixture[str]) -> None:
     assert cli(["--help"]) == 0
     assert "eiderhub COMMAND" in capsys.readouterr().out
     assert cli([]) == 2
@@ -159,7 +161,7 @@
     assert "usage: eiderhub sidecar" in capsys.readouterr().err
 
 
-def test_the_demonstration_serves_and_ends_well() -> None:
+def test_the_demonstration_serves_and_exits_with_0() -> None:
     done = subprocess.run(
         [sys.executable, "-m", "eiderhub", "demo", "--seconds", "2"],
         capture_output=True,
