--- a/eiderhub/config/check.py
+++ b/eiderhub/config/check.py
@@ -28,6 +28,8 @@
 
 @dataclass
 class CheckResult:
+    """Findings and unreadable files of one run."""
+
     findings: list[Finding] = field(default_factory=list)
     unreadable: list[str] = field(default_factory=list)
     examined: list[ExaminedFiles] = field(default_factory=list)
--- a/eiderhub/config/command.py
+++ b/eiderhub/config/command.py
@@ -22,6 +22,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
+    """Run `eiderhub config` with these arguments and return the exit status."""
     options = _parser().parse_args(arguments)
     try:
         return int(options.run(options))
--- a/eiderhub/config/explain.py
+++ b/eiderhub/config/explain.py
@@ -17,6 +17,8 @@
 
 
 class Explanation(NamedTuple):
+    """How a request is routed."""
+
     route: str  # the route's name, or the default rule that matched
     request_class: RequestClass | None
     refusal: str  # why the request is refused; "" if it is accepted
@@ -75,6 +77,7 @@
 
 
 def describe_pool(request_class: RequestClass) -> str:
+    """Return which endpoints may serve the class, as a text."""
     parts = []
     for title, names in (
         ("zones", request_class.allowed_zones),
@@ -190,6 +193,8 @@
 
 
 class Difference(NamedTuple):
+    """One aspect in which two configurations differ."""
+
     subject: str
     what: str
     old: str  # "" if added
@@ -232,6 +237,7 @@
 
 
 def describe_deduplication(request_class: RequestClass) -> str:
+    """Return which endpoints drop a repeated key, and for how long; "" if the class is not keyed."""
     if request_class.effect is not Effect.DEDUPLICATED:
         return ""
     group = {
--- a/eiderhub/config/load.py
+++ b/eiderhub/config/load.py
@@ -46,6 +46,7 @@
 
     @staticmethod
     def read(path: str | None) -> SourceFile | None:
+        """Read a file. Raises `UnreadableFileError`."""
         return None if path is None else SourceFile(path, read_bytes(path))
 
 
@@ -112,6 +113,7 @@
 
 
 def make_plan(pair: FilePair, config: Config) -> Plan:
+    """Return the routing plan of both files."""
     if not any(name in pair.tables for name in OPERATOR_TABLES):
         return default_plan(config.settings)
     from eiderhub.routing import options  # imported only if the file configures it
--- a/eiderhub/config/operator_file.py
+++ b/eiderhub/config/operator_file.py
@@ -26,12 +26,15 @@
 
 
 class TableOwner(Protocol):
+    """A module that declares and checks tables of the operator's file."""
+
     TABLES: dict[str, ValueType]
 
     def check(self, pair: FilePair) -> None: ...
 
 
 def table_owner(table: str) -> TableOwner:
+    """Import and return the module that owns a table."""
     module: Any = import_module(TABLE_MODULES[table])
     return module  # type: ignore[no-any-return]
 
--- a/eiderhub/config/sidecar_file.py
+++ b/eiderhub/config/sidecar_file.py
@@ -110,7 +110,7 @@
         _optional("ConnIdleUs", NON_NEGATIVE_US, "endpoints close idle connections after this (microseconds);"
                   " 0: unknown", 0),
         _optional("ConnectTimeoutUs", POSITIVE_US, "connect timeout (microseconds)", 250_000),
-        *(_optional(name, Anything(), "stated by the platform") for name in (
+        *(_optional(name, Anything(), "sent by the platform; not used") for name in (
             "CpuUsPerRequest", "CpuUsPerS", "MaxOpen", "Multiplex", "Peers", "Probing",
         )),
     ),
@@ -126,7 +126,7 @@
         _optional("DrainGraceUs", NON_NEGATIVE_US, "how soon a drain must take effect (microseconds)", 1_000_000),
         _optional("AskEveryUs", NON_NEGATIVE_US, "how long a list of endpoints may be used without a watch"
                   " (microseconds)", 10_000_000),
-        *(_optional(name, Anything(), "stated by the platform") for name in ("AnswerSlackUs", "FallUs")),
+        *(_optional(name, Anything(), "sent by the platform; not used") for name in ("AnswerSlackUs", "FallUs")),
     ),
     allows_unknown=True,
 )  # fmt: skip
@@ -141,24 +141,24 @@
     (
         Key("Categories", ListOf(CATEGORY, 256), "the classes of requests"),
         _optional("Parties", ListOf(PARTY, 1000), "the tenants", []),
-        _optional("Allowed", ALLOWED, "what the site permits", {}),
+        _optional("Allowed", ALLOWED, "features and limits of the site", {}),
         _optional("Rules", RULES, "parameters of the rules", {}),
         _optional("Goal", GOAL, "weights of the goal", {}),
         _optional("Charges", Table((_optional("CrossZone", WEIGHT, "price of crossing zones", 0.0), *(
-            _optional(name, Anything(), "stated by the platform") for name in (
+            _optional(name, Anything(), "sent by the platform; not used") for name in (
                 "Connection", "Discovery", "Fleet", "Handshake", "LateFail", "Moves", "Origin", "Peer", "Probe",
                 "Waste",
             ))), allows_unknown=True), "prices", {}),
-        _optional("Rank", Int(0, 1_000_000), "this sidecar's number", 0),
+        _optional("Rank", Int(0, 1_000_000), "this sidecar's number, from 0", 0),
         _optional("Balancers", Int(1, 1_000_000), "sidecars in this tier", 1),
-        _optional("Layer", Int(0, 100), "the tier this sidecar sends into", 0),
+        _optional("Layer", Int(0, 100), "the tier that this sidecar sends into", 0),
         _optional("Tiers", ListOf(ANY_TEXT, 100), "the tiers' names", [""]),
         _optional("MyZone", ANY_TEXT, "this sidecar's zone", ""),
-        _optional("Localities", ZONES, "the zones' names"),
+        _optional("Localities", ZONES, "the names of all zones"),
         _optional("Kinds", ListOf(Text(description="a kind's name"), 1000), "the kinds of machine"),
         _optional("OverShareWorth", Number(0, 1000), "worth of a request over its tenant's share", 1.0),
-        _optional("Discovery", _choice(Discovery), "whether lists are pushed or asked for", "push"),
-        *(_optional(name, Anything(), "stated by the platform") for name in (
+        _optional("Discovery", _choice(Discovery), "whether lists are pushed or polled", "push"),
+        *(_optional(name, Anything(), "sent by the platform; not used") for name in (
             "Clients", "Family", "FamilyInfo", "Report", "StepUs", "Weights", "WorthBy",
         )),
     ),
@@ -167,7 +167,7 @@
 INSTANCE = Table(
     (
         Key("instanceId", Text(r".{1,256}", "an id"), "the endpoint's id"),
-        Key("hostPort", Address(), "where it listens"),
+        Key("hostPort", Address(), "its address"),
         Key("lifecycle", Choice(("ready", "draining", "gone")), "its state"),
         _optional("zone", ANY_TEXT, "its zone", ""),
         _optional("machineType", ANY_TEXT, "its kind", ""),
@@ -181,9 +181,11 @@
 DOCUMENT = Table(
     (
         _optional("name", ANY_TEXT, "the sidecar's name", ""),
-        _optional("listen", Address(), "where clients connect"),
-        _optional("discovery", Address(), "discovery"),
-        Key("seed", Text(r"(0x)?[0-9a-fA-F_]{1,64}", "a hexadecimal number in quotes"), "for random numbers"),
+        _optional("listen", Address(), "the address that callers connect to"),
+        _optional("discovery", Address(), "the address of discovery"),
+        Key(
+            "seed", Text(r"(0x)?[0-9a-fA-F_]{1,64}", "a hexadecimal number in quotes"), "the seed of the random numbers"
+        ),
         _optional(
             "limits",
             Table(
@@ -210,9 +212,9 @@
             "the last known list of endpoints",
         ),
         Key("settings", SETTINGS, "settings of the decision module"),
-        _optional("peer_listen", Anything(), "stated by the platform"),
-        _optional("peers", Anything(), "stated by the platform"),
-        _optional("peers_all", Anything(), "stated by the platform"),
+        _optional("peer_listen", Anything(), "sent by the platform; not used"),
+        _optional("peers", Anything(), "sent by the platform; not used"),
+        _optional("peers_all", Anything(), "sent by the platform; not used"),
         _optional("notes", Anything(), "explanations of values; the sidecar ignores them"),
     ),
     allows_unknown=True,
--- a/eiderhub/config/write.py
+++ b/eiderhub/config/write.py
@@ -69,6 +69,7 @@
 
 
 def _origin(application: Application, key: str) -> KeyPath:
+    """Return the part of a description that a key of the generated files results from."""
     names = list(application.table["classes"])
     if match := re.match(r"settings\.Categories\[(\d+)\](?:\.(\w+))?", key):
         source_keys = {
@@ -119,21 +120,22 @@
 # --- the sidecar's file ---
 
 
-def dedup_window_us(remembered: int, connect: int) -> int:
+def dedup_window_us(remembered_us: int, connect_us: int) -> int:
     """Return how long a key may be resent, in microseconds.
 
     A resend may have to connect first, and must still arrive while endpoints remember the key.
     """
-    return remembered - connect
+    return remembered_us - connect_us
 
 
-def fitting_attempts(deadlines: list[int], connect: int, layer: int) -> int:
+def fitting_attempts(deadlines_us: list[int], connect_us: int, layer: int) -> int:
     """Return how many failed connection attempts fit into the shortest deadline, up to the decision module's limit."""
     max_attempts = MAX_ATTEMPTS_INNER if layer else MAX_ATTEMPTS
-    return max(1, min(max_attempts, min(deadlines) // connect))
+    return max(1, min(max_attempts, min(deadlines_us) // connect_us))
 
 
 def sidecar_text(application: Application) -> bytes:
+    """Return the content of the sidecar's file (JSON)."""
     table = application.table
     classes, servers, machine = table["classes"], table["servers"], table["machine"]
     tiers = list(table["tiers"] or ([table["tier"]] if table["tier"] else [""]))
@@ -189,7 +191,7 @@
     return (json.dumps(document, indent=2, ensure_ascii=False) + "\n").encode()
 
 
-def _category(name: str, row: dict[str, Any], connect: int) -> dict[str, Any]:
+def _category(name: str, row: dict[str, Any], connect_us: int) -> dict[str, Any]:
     found: dict[str, Any] = {
         "Name": name,
         "AimUs": row["wanted"],
@@ -200,7 +202,7 @@
     }
     if row["repeat"] == "keyed":
         found["Group"] = row["dropped_by"]
-        found["DedupWindowUs"] = dedup_window_us(row["remembered"], connect)
+        found["DedupWindowUs"] = dedup_window_us(row["remembered"], connect_us)
     return found
 
 
@@ -248,6 +250,7 @@
 
 
 def operator_text(application: Application) -> bytes:
+    """Return the content of the operator's file (TOML)."""
     return ("\n".join(_operator_lines(application)) + "\n").encode()
 
 
--- a/tests/config/serving.py
+++ b/tests/config/serving.py
@@ -38,6 +38,7 @@
 
 
 def example_requests(plan: Plan) -> Iterator[ExampleRequest]:
+    """Yield one request for each HTTP route and, by default routing, one for each class."""
     for route in plan.table.routes if plan.table else ():
         if route.protocol in (None, "http") and not route.service and not route.call:
             headers = dict(route.headers)
--- a/tests/config/test_tool.py
+++ b/tests/config/test_tool.py
@@ -272,13 +272,13 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     description = (Path(__file__).parent.parent / "corpus" / "bad" / "effect-declared--description.toml").read_text()
-    sound = description.rpartition("harmless")[0] + 'never"\n[tenants]\nacme = 1.0\n' + THRIFT
+    valid_description = description.rpartition("harmless")[0] + 'never"\n[tenants]\nacme = 1.0\n' + THRIFT
     path = tmp_path / "shop.toml"
-    path.write_text(sound)
+    path.write_text(valid_description)
     assert main(["write", str(path), "--out", str(tmp_path / "out")]) == 0
     written = (tmp_path / "out" / "shop" / "operator.toml").read_text()
     assert '[thrift]\nlisten = "127.0.0.1:0"' in written
     assert main(["check", str(tmp_path / "out")]) == 0
-    path.write_text(sound.replace('methods = { "Invoice:issue"', "methods = { look"))
+    path.write_text(valid_description.replace('methods = { "Invoice:issue"', "methods = { look"))
     assert main(["write", str(path), "--out", str(tmp_path / "out")]) == 1
     assert "unsafe-method" in capsys.readouterr().out
--- a/tests/config/test_write.py
+++ b/tests/config/test_write.py
@@ -32,10 +32,10 @@
 
 @st.composite
 def classes(draw: st.DrawFn) -> dict[str, Any]:
-    wanted = draw(milliseconds)
+    objective_ms = draw(milliseconds)
     found: dict[str, Any] = {
-        "wanted": duration(wanted),
-        "give_up": duration(wanted + draw(st.integers(600, 3000))),
+        "wanted": duration(objective_ms),
+        "give_up": duration(objective_ms + draw(st.integers(600, 3000))),
         "repeat": draw(st.sampled_from(["harmless", "keyed", "never"])),
     }
     if found["repeat"] == "keyed":
