--- a/tests/config/test_tool.py
+++ b/tests/config/test_tool.py
@@ -156,11 +156,11 @@
 
 def test_keys_lists_every_table_and_key(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["keys"]) == 0
-    fields = capsys.readouterr().out
+    output = capsys.readouterr().out
     for name in TABLE_MODULES:
-        assert f"[{name}" in fields
+        assert f"[{name}" in output
         assert name in table_owner(name).TABLES
-    assert "deadline       its time, where that is shorter than the class's" in fields
+    assert "deadline       its time, where that is shorter than the class's" in output
 
 
 def test_files_of_one_sidecar_are_grouped() -> None:
