--- a/eiderhub/schema/files.py
+++ b/eiderhub/schema/files.py
@@ -1,4 +1,7 @@
-"""Files from disk to values, each value with its line. Whatever the file is, the answer is a value or a finding."""
+"""Reads and decodes JSON and TOML files, and records the line of each key.
+
+A file that can't be opened raises `UnreadableFileError`; any other error is a finding.
+"""
 
 from __future__ import annotations
 
@@ -10,74 +13,83 @@
 
 from eiderhub.schema.findings import KeyPath, Location, Report
 
-MAX_FILE_BYTES = 8 << 20  # of one file: a list of a thousand endpoints takes 300 KB
-MAX_READ_ATTEMPTS = 3  # at a file that changes while it is read
-CONSEQUENCE = "No sidecar starts from it"
+MAX_FILE_BYTES = 8 << 20  # a list of a thousand endpoints takes 300 KB
+MAX_READ_ATTEMPTS = 3  # for a file that changes while it is read
+CONSEQUENCE = "The sidecar would not start"
 
 
 class UnreadableFileError(Exception):
-    """The file can't be read at all; the text names it and says why."""
+    """The file can't be read; the message contains its path and the reason."""
 
 
 def read_bytes(path: str) -> bytes:
-    """The whole of a regular file, as it was at one moment. Raises `UnreadableFileError`; never waits on a pipe."""
+    """Return a consistent snapshot of a regular file.
+
+    Raises `UnreadableFileError`, also if the file keeps changing. Never blocks on a named pipe.
+    """
     for _ in range(MAX_READ_ATTEMPTS):
         content = _read_once(path)
         if content is not None:
             return content
-    raise UnreadableFileError(f"{path}: it changes while it is read; write a new file and rename it")
+    raise UnreadableFileError(f"{path}: the file changes while it is read; write a new file and rename it")
 
 
 def _read_once(path: str) -> bytes | None:
+    """Return the file's content, or None if the file was changed or replaced meanwhile."""
     try:
-        # Without O_NONBLOCK the mere opening of a pipe would wait for a writer.
-        number = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
+        # Without O_NONBLOCK, opening a named pipe would block until a writer opens it.
+        fd = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
     except (OSError, ValueError) as error:
         raise UnreadableFileError(f"{path}: {getattr(error, 'strerror', None) or error}") from None
     try:
-        before = os.fstat(number)
+        before = os.fstat(fd)
         if not stat.S_ISREG(before.st_mode):
-            raise UnreadableFileError(f"{path}: {'a folder' if stat.S_ISDIR(before.st_mode) else 'no regular file'}")
+            raise UnreadableFileError(
+                f"{path}: {'is a folder' if stat.S_ISDIR(before.st_mode) else 'not a regular file'}"
+            )
         if before.st_size > MAX_FILE_BYTES:
-            raise UnreadableFileError(f"{path}: {before.st_size} bytes; {MAX_FILE_BYTES} are the most")
-        content = _read_all(number)
-        after = os.fstat(number)
+            raise UnreadableFileError(f"{path}: {before.st_size} bytes; at most {MAX_FILE_BYTES} are allowed")
+        content = _read_all(fd)
+        after = os.fstat(fd)
     finally:
-        os.close(number)
+        os.close(fd)
     try:
         replaced = os.stat(path).st_ino != after.st_ino
     except OSError:
         replaced = True
-    same = (before.st_mtime_ns, before.st_size) == (after.st_mtime_ns, after.st_size)
-    return content if same and not replaced and len(content) == after.st_size else None
+    is_unchanged = (before.st_mtime_ns, before.st_size) == (after.st_mtime_ns, after.st_size)
+    return content if is_unchanged and not replaced and len(content) == after.st_size else None
 
 
-def _read_all(number: int) -> bytes:
-    parts = []
-    left = MAX_FILE_BYTES + 1
-    while left > 0 and (part := os.read(number, left)):
-        parts.append(part)
-        left -= len(part)
-    return b"".join(parts)
+def _read_all(fd: int) -> bytes:
+    chunks = []
+    bytes_left = MAX_FILE_BYTES + 1
+    while bytes_left > 0 and (chunk := os.read(fd, bytes_left)):
+        chunks.append(chunk)
+        bytes_left -= len(chunk)
+    return b"".join(chunks)
 
 
 def decode_text(content: bytes, location: Location) -> str | None:
-    """UTF-8 with no mark ahead; the finding names the line of the first byte that is not."""
+    """Decode UTF-8 without a byte order mark.
+
+    Returns None after adding a finding; its line is that of the first invalid byte.
+    """
     try:
         text = content.decode("utf-8")
     except UnicodeDecodeError as error:
         location.report.lines[()] = content.count(b"\n", 0, error.start) + 1
-        location.error("encoding", f"byte {error.start} is no UTF-8", CONSEQUENCE, "Save the file as UTF-8")
+        location.error("encoding", f"byte {error.start} is not valid UTF-8", CONSEQUENCE, "Save the file as UTF-8")
         return None
     if text.startswith("\ufeff"):
         location.report.lines[()] = 1
         location.error(
-            "bom", "a byte order mark stands ahead of the text", CONSEQUENCE, "Save it as UTF-8 without a mark"
+            "bom", "the text begins with a byte order mark", CONSEQUENCE, "Save it as UTF-8 without a byte order mark"
         )
         return None
     if "\0" in text:
         location.report.lines[()] = text.count("\n", 0, text.index("\0")) + 1
-        location.error("encoding", "a NUL byte in the text", CONSEQUENCE, "Save the file as plain text")
+        location.error("encoding", "the text contains a NUL byte", CONSEQUENCE, "Save the file as plain text")
         return None
     return text
 
@@ -85,38 +97,39 @@
 # --- JSON ---
 
 
-def _no_constant(text: str) -> NoReturn:
-    raise ValueError(f"{text} is no number in JSON")
+def _reject_constant(text: str) -> NoReturn:
+    raise ValueError(f"{text} is not a number in JSON")
 
 
 def parse_json(text: str, report: Report) -> Any:
-    """The document, or None with a finding. Keys that are given twice are findings too."""
+    """Return the decoded document, or None after adding a finding; duplicate keys are findings too."""
     location = Location(report)
     try:
-        value = json.loads(text, parse_constant=_no_constant)
+        value = json.loads(text, parse_constant=_reject_constant)
     except json.JSONDecodeError as error:
         report.lines[()] = error.lineno
-        location.error("syntax", f"no JSON: {error.msg} (column {error.colno})", CONSEQUENCE, "Mend it there")
+        location.error("syntax", f"invalid JSON: {error.msg} (column {error.colno})", CONSEQUENCE, "Correct it")
         return None
     except RecursionError:
-        location.error("nesting", "nested too deep", CONSEQUENCE, "A configuration has some six levels")
+        location.error("nesting", "nested too deeply", CONSEQUENCE, "Remove levels; a configuration needs about six")
         return None
     except ValueError as error:
         report.lines[()] = _line_of_constant(text)
-        location.error("number", str(error).split(";")[0], CONSEQUENCE, "Write a plain number")
+        location.error("number", str(error).split(";")[0], CONSEQUENCE, "Write an ordinary number")
         return None
     report.lines = {}
     for path, line in _json_keys(text):
         if path in report.lines:
             report.lines[path] = line
             Location(report, path).error(
-                "twice", "the key is given twice", "The later one counts, unseen", "Keep one of them"
+                "twice", "the key appears twice", "The earlier value would be ignored", "Remove one of them"
             )
         report.lines[path] = line
     return value
 
 
 def _line_of_constant(text: str) -> int:
+    """Return the line of the first NaN, Infinity or oversized integer, or 0."""
     match = re.search(r"\b(NaN|Infinity)\b|-?[0-9]{4000,}", text)
     return text.count("\n", 0, match.start()) + 1 if match else 0
 
@@ -125,11 +138,11 @@
 
 
 def _json_keys(text: str) -> list[tuple[KeyPath, int]]:
-    """Each value's path and line, in order, of a text that is known to be JSON."""
+    """Return the path and line of each value of valid JSON text, in document order."""
     found: list[tuple[KeyPath, int]] = [((), 1)]
-    stack: list[str | int | None] = []  # of each open container: the key or the place that comes next
+    stack: list[str | int | None] = []  # for each open container: the current key (None: not yet known) or index
     line = 1
-    pending: str | None = None
+    pending: str | None = None  # a string token that may be a key
     for match in _TOKEN.finditer(text):
         token = match[0]
         if token == "\n":
@@ -160,23 +173,23 @@
 
 
 def parse_toml(text: str, report: Report) -> dict[str, Any] | None:
-    """The document, or None with a finding."""
-    import tomllib  # here, since a reload without an operator's file reads none
+    """Return the decoded document, or None after adding a finding."""
+    import tomllib  # imported here, as a sidecar without an operator's file does not need it
 
     location = Location(report)
     try:
         value = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        place = re.search(r"\(at line (\d+), column (\d+)\)", str(error))
-        report.lines[()] = int(place[1]) if place else len(text.splitlines())
+        position = re.search(r"\(at line (\d+), column (\d+)\)", str(error))
+        report.lines[()] = int(position[1]) if position else len(text.splitlines())
         what = str(error).split(" (at ")[0]
-        location.error("syntax", f"no TOML: {what}", CONSEQUENCE, "Mend it there")
+        location.error("syntax", f"invalid TOML: {what}", CONSEQUENCE, "Correct it")
         return None
     except RecursionError:
-        location.error("nesting", "nested too deep", CONSEQUENCE, "A configuration has some four levels")
+        location.error("nesting", "nested too deeply", CONSEQUENCE, "Remove levels; a configuration needs about four")
         return None
     except ValueError as error:
-        location.error("number", str(error).split(";")[0], CONSEQUENCE, "Write a plain number")
+        location.error("number", str(error).split(";")[0], CONSEQUENCE, "Write an ordinary number")
         return None
     report.lines = _toml_keys(text)
     return value
@@ -186,26 +199,27 @@
     r"""\s*((?:[A-Za-z0-9_-]+|"(?:[^"\\]|\\.)*"|'[^']*')(?:\s*\.\s*(?:[A-Za-z0-9_-]+|"(?:[^"\\]|\\.)*"|'[^']*'))*)\s*="""
 )
 _HEADER = re.compile(r"\s*(\[\[?)\s*(.*?)\s*\]\]?\s*(?:#.*)?$")
-_QUIET = re.compile(r'''"""|\'\'\'|"(?:[^"\\\n]|\\.)*"|'[^'\n]*'|#.*|[\[\]{}]''')
+# What opens or closes a value over several lines, and the strings and comments to skip while looking for it.
+_DELIMITER = re.compile(r'''"""|\'\'\'|"(?:[^"\\\n]|\\.)*"|'[^'\n]*'|#.*|[\[\]{}]''')
 
 
-def _steps(text: str) -> tuple[str, ...]:
-    """The parts of a dotted key, quotes and escapes undone by the reader of the document itself."""
+def _split_key(text: str) -> tuple[str, ...]:
+    """Split a dotted key; `tomllib` removes quotes and escapes."""
     import tomllib
 
     try:
         value: Any = tomllib.loads(f"{text} = 0")
     except tomllib.TOMLDecodeError:
         return (text,)
-    found = []
+    steps = []
     while isinstance(value, dict):
         ((step, value),) = value.items()
-        found.append(step)
-    return tuple(found)
+        steps.append(step)
+    return tuple(steps)
 
 
 def _toml_keys(text: str) -> dict[KeyPath, int]:
-    """The line of each key, of a text that is known to be TOML; what stands inside a value has that value's line."""
+    """Return the line of each key of valid TOML text. Keys inside a value are left out."""
     lines: dict[KeyPath, int] = {(): 1}
     counts: dict[KeyPath, int] = {}
     table: KeyPath = ()
@@ -214,13 +228,13 @@
         if not depth and not quote:
             header, key = _HEADER.match(line), _KEY.match(line)
             if header and not key:
-                table = _resolve(_steps(header[2]), header[1] == "[[", counts)
+                table = _resolve(_split_key(header[2]), header[1] == "[[", counts)
                 lines.setdefault(table, number)
                 for end in range(len(table)):
                     lines.setdefault(table[:end], number)
                 continue
             if key:
-                path = (*table, *_steps(key[1]))
+                path = (*table, *_split_key(key[1]))
                 for end in range(len(table) + 1, len(path) + 1):
                     lines.setdefault(path[:end], number)
                 line = line[key.end() :]
@@ -229,7 +243,7 @@
 
 
 def _resolve(steps: tuple[str, ...], is_row: bool, counts: dict[KeyPath, int]) -> KeyPath:
-    """A header's path, with the places of the rows that it lies in."""
+    """Return the path of a table header, with the indexes of the arrays of tables that contain it."""
     path: KeyPath = ()
     for n, step in enumerate(steps):
         path = (*path, step)
@@ -241,18 +255,18 @@
 
 
 def _still_open(line: str, depth: int, quote: str) -> tuple[int, str]:
-    """Brackets and long strings that are open at the end of a line."""
-    at = 0
+    """Return the number of open brackets and the quotes of an open multi-line string at the end of a line."""
+    position = 0
     while True:
         if quote:
-            end = line.find(quote, at)
+            end = line.find(quote, position)
             if end < 0:
                 return depth, quote
-            at, quote = end + 3, ""
-        match = _QUIET.search(line, at)
+            position, quote = end + 3, ""
+        match = _DELIMITER.search(line, position)
         if match is None:
             return depth, quote
-        at = match.end()
+        position = match.end()
         if match[0] in ('"""', "'''"):
             quote = match[0]
         elif match[0] in ("[", "{"):
--- a/eiderhub/schema/value_types.py
+++ b/eiderhub/schema/value_types.py
@@ -1,8 +1,8 @@
-"""Declared keys: their types, units, ranges and defaults, and one reading of them that finds all faults at once.
+"""Types of configuration values: how keys, units, ranges and defaults are declared, validated and converted.
 
-Why not a decoder library here: msgspec and its like stop at the first fault and know neither lines nor units, and a
-checker has to tell all faults with their lines. Decoding text is left to `tomllib` and `json` of Python itself, so that
-the sidecar carries no library more (docs/design/configuration.md has the comparison).
+Reading a table reports all errors at once, each with its line. Decoder libraries such as msgspec stop at the first
+error and know neither lines nor units. Text is decoded by `tomllib` and `json` of the standard library, so that the
+sidecar needs no further dependency (docs/design/configuration.md compares the alternatives).
 """
 
 from __future__ import annotations
@@ -17,56 +17,59 @@
 from eiderhub.schema.findings import Location
 from eiderhub.schema.units import format_duration, format_size, parse_duration, parse_size
 
-INVALID: Final = object()  # in place of a value that could not be read: the finding stands already
-REQUIRED: Final = object()
-HOUR_US = 3_600_000_000  # no caller waits longer
+INVALID: Final = object()  # returned for an invalid value, after a finding was added
+REQUIRED: Final = object()  # the default of keys that must be present
+HOUR_US = 3_600_000_000  # upper bound of most durations: no caller waits longer
 NAME = r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}"
 
 
 class ValueType(Protocol):
-    """How one value is written."""
+    """Validates and converts one decoded value."""
 
-    # A property: the words may be fixed, or follow from the kind's own fields.
+    # A property, because some types have a fixed description and others derive it from their fields.
 
     @property
     def description(self) -> str:
-        """What may stand there, for people."""
+        """Describe the allowed values, for error messages."""
 
     def read(self, value: object, location: Location) -> Any:
-        """The value in the program's terms, or `BAD` with findings at `spot`."""
+        """Return the converted value, or add findings at `location` and return `INVALID`."""
 
 
 def report_invalid(location: Location, value: object, description: str, code: str = "value") -> Any:
+    """Add an error saying that the value is not what `description` allows, and return `INVALID`."""
     shown = repr(value)
     shown = shown if len(shown) <= 60 else shown[:57] + "..."
-    location.error(code, f"{shown} is not {description}", "No sidecar starts from it", f"Write {description}")
+    location.error(code, f"{shown} is not {description}", "The sidecar would not start", f"Write {description}")
     return INVALID
 
 
-POSSIBLE_MATCH, LIKELY_MATCH = 0.6, 0.8  # how alike two names are that may, or must, be meant for one
+# Minimum `difflib` similarity: to suggest a known name, and to treat an unknown key as a misspelling of a known one.
+POSSIBLE_MATCH, LIKELY_MATCH = 0.6, 0.8
 
 
 def closest_name(name: str, known: Iterable[str], similarity: float = POSSIBLE_MATCH) -> str | None:
-    """The known name that was probably meant."""
-    import difflib  # only for what is wrong: a reload of a sound file has no use for it
+    """Return the known name that is most similar, ignoring case, or None if none is similar enough."""
+    import difflib  # imported here, as only invalid files need it
 
     folded = {k.casefold(): k for k in known}
-    found = difflib.get_close_matches(name.casefold(), folded, 1, similarity)
-    return folded[found[0]] if found else None
+    matches = difflib.get_close_matches(name.casefold(), folded, 1, similarity)
+    return folded[matches[0]] if matches else None
 
 
 def did_you_mean(name: str, known: Iterable[str]) -> str:
-    found = sorted(known)
-    near = closest_name(name, found)
-    return f"Did you mean {near!r}?" if near else f"Known are: {', '.join(found) or 'none'}"
+    """Return the text that suggests the closest known name, or lists all of them."""
+    names = sorted(known)
+    closest = closest_name(name, names)
+    return f"Did you mean {closest!r}?" if closest else f"Known names: {', '.join(names) or 'none'}"
 
 
 @dataclass(frozen=True)
 class Text:
-    """Text, whole by a pattern."""
+    """A string that matches a regular expression as a whole."""
 
     pattern: str = r"(?s).{1,256}"
-    description: str = "a text"
+    description: str = "a string"
 
     def read(self, value: object, location: Location) -> Any:
         if isinstance(value, str) and re.fullmatch(self.pattern, value):
@@ -79,6 +82,8 @@
 
 @dataclass(frozen=True)
 class Choice:
+    """One of a fixed set of strings."""
+
     names: tuple[str, ...]
 
     @property
@@ -95,6 +100,8 @@
 
 @dataclass(frozen=True)
 class Flag:
+    """A boolean."""
+
     description: str = "true or false"
 
     def read(self, value: object, location: Location) -> Any:
@@ -103,6 +110,8 @@
 
 @dataclass(frozen=True)
 class Int:
+    """An integer between two bounds, both included."""
+
     low: int
     high: int
     unit: str = ""
@@ -119,6 +128,8 @@
 
 @dataclass(frozen=True)
 class Number:
+    """A finite number between two bounds, both included; converted to a float."""
+
     low: float
     high: float
     unit: str = ""
@@ -130,7 +141,7 @@
     def read(self, value: object, location: Location) -> Any:
         if isinstance(value, bool) or not isinstance(value, int | float):
             return report_invalid(location, value, self.description)
-        # Compared before it is made a float: a huge whole number has none.
+        # Compared before the conversion, because huge integers can't be converted to a float.
         if (isinstance(value, float) and not math.isfinite(value)) or not self.low <= value <= self.high:
             return report_invalid(location, value, self.description, "range")
         return float(value)
@@ -138,22 +149,22 @@
 
 @dataclass(frozen=True)
 class Duration:
-    """Microseconds inside; written with a unit."""
+    """A duration with a unit, such as "250ms", between two bounds; converted to microseconds."""
 
     low: int
     high: int
 
     @property
     def description(self) -> str:
-        return f'a time such as "250ms", from {format_duration(self.low)} to {format_duration(self.high)}'
+        return f'a duration such as "250ms", from {format_duration(self.low)} to {format_duration(self.high)}'
 
     def read(self, value: object, location: Location) -> Any:
-        return _measure(value, location, parse_duration, self.low, self.high, self.description)
+        return _read_quantity(value, location, parse_duration, self.low, self.high, self.description)
 
 
 @dataclass(frozen=True)
 class Size:
-    """Bytes inside; written with a unit."""
+    """A size with a unit, such as "64MiB", between two bounds; converted to bytes."""
 
     low: int
     high: int
@@ -163,25 +174,25 @@
         return f'a size such as "64MiB", from {format_size(self.low)} to {format_size(self.high)}'
 
     def read(self, value: object, location: Location) -> Any:
-        return _measure(value, location, parse_size, self.low, self.high, self.description)
+        return _read_quantity(value, location, parse_size, self.low, self.high, self.description)
 
 
-def _measure(value: object, location: Location, parse: Any, low: int, high: int, description: str) -> Any:
+def _read_quantity(value: object, location: Location, parse: Any, low: int, high: int, description: str) -> Any:
     if not isinstance(value, str):
         return report_invalid(location, value, description, "unit" if isinstance(value, int | float) else "value")
     try:
         amount = parse(value)
     except ValueError as error:
-        location.error("unit", str(error), "No sidecar starts from it", f"Write {description}")
+        location.error("unit", str(error), "The sidecar would not start", f"Write {description}")
         return INVALID
     return amount if low <= amount <= high else report_invalid(location, value, description, "range")
 
 
 @dataclass(frozen=True)
 class SocketAddress:
-    """An IP address and a port; no name, for nothing looks names up."""
+    """An IP address and a port. Host names are not allowed, as nothing resolves them."""
 
-    min_port: int = 0  # port
+    min_port: int = 0
     description: str = 'an address such as "127.0.0.1:9090"'
 
     def read(self, value: object, location: Location) -> Any:
@@ -197,28 +208,28 @@
 
 @dataclass(frozen=True)
 class OneOrMore:
-    """One value or a list of them."""
+    """One value or a list of values of one type; converted to a tuple."""
 
     value_type: ValueType
     max_items: int = 64
 
     @property
     def description(self) -> str:
-        return f"{self.value_type.description}, or a list of such"
+        return f"{self.value_type.description}, or a list of those"
 
     def read(self, value: object, location: Location) -> Any:
         if not isinstance(value, list):
-            one = self.value_type.read(value, location)
-            return INVALID if one is INVALID else (one,)
+            single = self.value_type.read(value, location)
+            return INVALID if single is INVALID else (single,)
         if not value or len(value) > self.max_items:
-            return report_invalid(location, value, f"a list of 1 to {self.max_items}")
+            return report_invalid(location, value, f"a list with a length of 1 to {self.max_items}")
         read = [self.value_type.read(item, location / i) for i, item in enumerate(value)]
         return INVALID if any(item is INVALID for item in read) else tuple(read)
 
 
 @dataclass(frozen=True)
 class ListOf:
-    """A list of tables, or of whatever `kind` is."""
+    """A list of values of one type; invalid items are left out, after a finding for each."""
 
     value_type: ValueType
     max_items: int = 10_000
@@ -229,13 +240,15 @@
 
     def read(self, value: object, location: Location) -> Any:
         if not isinstance(value, list) or len(value) > self.max_items:
-            return report_invalid(location, value, f"{self.description}, {self.max_items} at the most")
-        return [row for i, item in enumerate(value) if (row := self.value_type.read(item, location / i)) is not INVALID]
+            return report_invalid(location, value, f"{self.description}, with at most {self.max_items} items")
+        return [
+            read for i, item in enumerate(value) if (read := self.value_type.read(item, location / i)) is not INVALID
+        ]
 
 
 @dataclass(frozen=True)
 class Located:
-    """A value with its place, for checks that come after the reading."""
+    """A value that is returned as a pair with its location, for later checks."""
 
     value_type: ValueType
 
@@ -250,10 +263,10 @@
 
 @dataclass(frozen=True)
 class MapOf:
-    """A table of names that the user gives, each with a value of one kind."""
+    """A table with keys chosen by the user and values of one type; invalid entries are left out, with findings."""
 
     value_type: ValueType
-    name: str = NAME
+    name: str = NAME  # regular expression of a key
     max_items: int = 1000
 
     @property
@@ -262,16 +275,16 @@
 
     def read(self, value: object, location: Location) -> Any:
         if not isinstance(value, dict) or len(value) > self.max_items:
-            return report_invalid(location, value, f"a table, {self.max_items} entries at the most")
-        found = {}
+            return report_invalid(location, value, f"a table with at most {self.max_items} entries")
+        entries = {}
         for name, item in value.items():
             if not re.fullmatch(self.name, name):
-                report_invalid(location / name, name, f"a name like {self.name}", "name")
+                report_invalid(location / name, name, f"a name that matches {self.name}", "name")
                 continue
             read = self.value_type.read(item, location / name)
             if read is not INVALID:
-                found[name] = read
-        return found
+                entries[name] = read
+        return entries
 
 
 @dataclass(frozen=True)
@@ -286,7 +299,12 @@
 
 @dataclass(frozen=True)
 class Table:
-    """A table with known keys. `foreign` tolerates others, as the platform's own files may bring some."""
+    """A table with known keys.
+
+    If `allows_unknown` is set, unknown keys are only warnings, unless they look like a misspelling: the platform's
+    files may contain further keys. Keys with invalid values are then left out of the result, so that the remaining
+    ones can still be checked.
+    """
 
     keys: Sequence[Key]
     allows_unknown: bool = False
@@ -301,29 +319,29 @@
             return report_invalid(location, value, self.description)
         for name in value:
             if name not in self.by_name:
-                self._unknown(name, location / name)
-        found = {}
+                self._report_unknown(name, location / name)
+        values = {}
         for key in self.keys:
             if value.get(key.name) is not None:
-                found[key.name] = key.value_type.read(value[key.name], location / key.name)
+                values[key.name] = key.value_type.read(value[key.name], location / key.name)
             elif key.default is REQUIRED:
                 (location / key.name).error(
-                    "missing", "the key is missing", "No sidecar starts from it", f"Give it: {key.help}"
+                    "missing", "the key is missing", "The sidecar would not start", f"Add it: {key.help}"
                 )
-                found[key.name] = INVALID
+                values[key.name] = INVALID
             else:
-                found[key.name] = key.default
-        if self.allows_unknown:  # what could be read is held against the rest all the same
-            return {name: read for name, read in found.items() if read is not INVALID}
-        return INVALID if any(read is INVALID for read in found.values()) else found
+                values[key.name] = key.default
+        if self.allows_unknown:
+            return {name: read for name, read in values.items() if read is not INVALID}
+        return INVALID if any(read is INVALID for read in values.values()) else values
 
-    def _unknown(self, name: str, location: Location) -> None:
+    def _report_unknown(self, name: str, location: Location) -> None:
         if self.allows_unknown and closest_name(name, self.by_name, LIKELY_MATCH) is None:
-            location.warn("unknown-key", "the key is not known", "It is skipped", "Leave it out if it is yours")
+            location.warn("unknown-key", "the key is unknown", "It is ignored", "Remove it if you added it")
         else:
             location.error(
                 "unknown-key",
-                "the key is not known",
-                "What it says would not be done",
+                "the key is unknown",
+                "It would have no effect",
                 did_you_mean(name, self.by_name),
             )
--- a/tests/config/test_files.py
+++ b/tests/config/test_files.py
@@ -1,4 +1,4 @@
-"""Files of every sort: a value, a finding or `UnreadableFileError`, and never a wait."""
+"""Reading files: any file gives a value, a finding or `UnreadableFileError`, and none blocks."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from eiderhub.schema.toml_writer import toml_key, toml_value
 
 
-def test_a_pipe_is_refused_and_not_waited_for(tmp_path: Path) -> None:
+def test_a_pipe_is_rejected_without_blocking(tmp_path: Path) -> None:
     os.mkfifo(tmp_path / "x.json")
-    with pytest.raises(UnreadableFileError, match="no regular file"):
+    with pytest.raises(UnreadableFileError, match="not a regular file"):
         read_bytes(str(tmp_path / "x.json"))
 
 
-def test_a_folder_and_a_missing_file_are_told_apart(tmp_path: Path) -> None:
-    with pytest.raises(UnreadableFileError, match="a folder"):
+def test_a_folder_and_a_missing_file_have_different_messages(tmp_path: Path) -> None:
+    with pytest.raises(UnreadableFileError, match="is a folder"):
         read_bytes(str(tmp_path))
     with pytest.raises(UnreadableFileError, match="No such file"):
         read_bytes(str(tmp_path / "none.json"))
@@ -33,34 +33,34 @@
         read_bytes("a\0b.json")
 
 
-def test_a_huge_file_is_not_read(tmp_path: Path) -> None:
+def test_a_file_over_the_size_limit_is_not_read(tmp_path: Path) -> None:
     path = tmp_path / "x.json"
     with path.open("wb") as file:
         file.truncate(100 << 20)
-    with pytest.raises(UnreadableFileError, match=f"{100 << 20} bytes; {MAX_FILE_BYTES} are the most"):
+    with pytest.raises(UnreadableFileError, match=f"{100 << 20} bytes; at most {MAX_FILE_BYTES} are allowed"):
         read_bytes(str(path))
 
 
 def test_a_file_that_changes_between_reads_is_read_whole_or_not_at_all(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """One that is replaced in the middle is read again; one that never stands still is refused."""
+    """A file that is replaced during the read is read again; one that is replaced each time is rejected."""
     path = tmp_path / "x.json"
     path.write_text("1")
-    real, times = os.fstat, iter(range(1000))
-
-    def replaced(number: int) -> os.stat_result:
-        found = real(number)
-        if next(times) < changes:
-            fresh = tmp_path / "fresh"
-            fresh.write_text("22")
-            fresh.rename(path)
-        return found
-
-    monkeypatch.setattr(os, "fstat", replaced)
-    changes = 2
+    original_fstat, calls = os.fstat, iter(range(1000))
+
+    def replace_and_stat(fd: int) -> os.stat_result:
+        status = original_fstat(fd)
+        if next(calls) < replacements:
+            replacement = tmp_path / "fresh"
+            replacement.write_text("22")
+            replacement.rename(path)
+        return status
+
+    monkeypatch.setattr(os, "fstat", replace_and_stat)
+    replacements = 2
     assert read_bytes(str(path)) == b"22"
-    times, changes = iter(range(1000)), 1000
+    calls, replacements = iter(range(1000)), 1000
     with pytest.raises(UnreadableFileError, match="changes while it is read"):
         read_bytes(str(path))
 
@@ -77,14 +77,14 @@
         ("x.json", b"\xff\xfe{\0}\0", "encoding"),
     ],
 )
-def test_well_or_ill_formed_it_is_one_clear_finding(tmp_path: Path, name: str, content: bytes, code: str) -> None:
+def test_a_file_that_can_not_be_decoded_gives_one_finding(tmp_path: Path, name: str, content: bytes, code: str) -> None:
     (tmp_path / name).write_bytes(content)
     result = check([str(tmp_path / name)])
     assert [finding.code for finding in result.findings] == [code]
     assert result.status == 1
 
 
-def test_the_exit_status_tells_unreadable_from_bad_from_sound(
+def test_the_exit_status_distinguishes_unreadable_invalid_and_valid_files(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     base = Path(__file__).parent.parent / "corpus" / "base.json"
@@ -99,11 +99,11 @@
     assert "neither .json nor .toml" in capsys.readouterr().out
 
 
-def test_json_for_machines_holds_every_part(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_json_output_has_all_fields_of_a_finding(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     (tmp_path / "bad.json").write_text('{\n "seed": 7\n}')
     assert main(["check", "--json", str(tmp_path / "bad.json")]) == 1
-    told = json.loads(capsys.readouterr().out)
-    first = next(f for f in told["findings"] if f["key"] == "seed")
+    output = json.loads(capsys.readouterr().out)
+    first = next(f for f in output["findings"] if f["key"] == "seed")
     assert first == {
         "file": str(tmp_path / "bad.json"),
         "line": 2,
@@ -111,7 +111,7 @@
         "code": "value",
         "severity": "error",
         "what": "7 is not a hexadecimal number in quotes",
-        "follows": "No sidecar starts from it",
+        "follows": "The sidecar would not start",
         "do": "Write a hexadecimal number in quotes",
     }
 
@@ -131,11 +131,12 @@
 
 
 def paths(value: object, path: KeyPath = ()) -> list[KeyPath]:
-    found = [path]
+    """Return the paths of all values in a document."""
+    result = [path]
     steps = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     for step, inner in steps:
-        found += paths(inner, (*path, step))
-    return found
+        result += paths(inner, (*path, step))
+    return result
 
 
 @given(documents)
@@ -155,11 +156,11 @@
 
 @given(tables)
 def test_every_key_of_a_toml_document_has_its_line(value: dict[str, object]) -> None:
-    """Each value as one line, or as a table with a header of its own; strings may hold anything."""
+    """Each value is written on one line, or as a table with its own header; strings have arbitrary characters."""
     text: list[str] = []
     expected: dict[KeyPath, int] = {}
-    plain = {k: v for k, v in value.items() if not isinstance(v, dict)}
-    for key, item in plain.items():
+    top_level = {k: v for k, v in value.items() if not isinstance(v, dict)}
+    for key, item in top_level.items():
         text.append(f"{toml_key(key)} = {toml_value(item)}")
         expected[(key,)] = len(text)
     for key, table in value.items():
@@ -174,7 +175,7 @@
     assert {path: line for path, line in report.lines.items() if path in expected} == expected
 
 
-def test_lines_of_rows_and_of_values_over_several_lines() -> None:
+def test_lines_of_arrays_of_tables_and_of_multi_line_values() -> None:
     text = 'a = [\n  1, # [\n  2,\n]\nb = """\n[x]\ny = 1\n"""\n[[r]]\nc = 1\n[r.s]\nd = 1\n[[r]]\nc.e = 2\n'
     report = Report("x")
     assert parse_toml(text, report) is not None
@@ -187,14 +188,14 @@
     assert ("x",) not in report.lines
 
 
-def test_a_key_given_twice_is_found_at_its_second_line() -> None:
+def test_a_duplicate_key_is_reported_at_its_second_line() -> None:
     report = Report("x")
     assert parse_json('{"a": {"b": 1,\n"b": 2}}', report) == {"a": {"b": 2}}
     assert [(f.code, f.line, f.key) for f in report.findings] == [("twice", 2, "a.b")]
 
 
-def test_reading_goes_on_beside_a_writer_that_renames(tmp_path: Path) -> None:
-    """The content is always that of one version, whatever moment is met."""
+def test_reading_while_a_writer_renames_new_versions_into_place(tmp_path: Path) -> None:
+    """Each read returns the content of exactly one version."""
     path = tmp_path / "x.json"
     path.write_bytes(b"0" * 50_000)
     stop = threading.Event()
