--- a/eiderhub/schema/__init__.py
+++ b/eiderhub/schema/__init__.py
@@ -1,1 +1,1 @@
-"""Declared keys, units, findings and files: what the owners of a table and the tools share. It knows none of them."""
+"""Configuration schema: value types, units, findings and files, shared by the owners of tables and the tools."""
--- a/eiderhub/schema/declared_classes.py
+++ b/eiderhub/schema/declared_classes.py
@@ -1,8 +1,8 @@
-"""What a business has declared of its classes, whatever a file says: the checker holds every file against it.
+"""Declared request classes: what repeating a request of a class does, regardless of the configuration files.
 
-It stands in a file of the business's own, which the environment names: the program knows no business. A site that has
-other classes declares them in the operator's file (`[classes.NAME]`), which may add to this and be stricter, and never
-weaker.
+The declarations are in a file of the organization that runs the sidecars, which an environment variable names. Every
+configuration file is checked against them. The operator's file (`[classes.NAME]`) may declare further classes and
+stricter effects, but no weaker ones.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 CLASSES = MapOf(
     Table(
         (
-            Key("effect", Choice(tuple(effect.value for effect in Effect)), "what a repeat does"),
-            Key("window", Duration(1, HOUR_US), "how long endpoints drop a repeat, where that is told", 0),
+            Key("effect", Choice(tuple(effect.value for effect in Effect)), "what a repeated request does"),
+            Key("window", Duration(1, HOUR_US), "how long endpoints drop repeated requests, if known", 0),
         )
     ),
     r"[^\x00-\x1f]{1,128}",
@@ -31,8 +31,10 @@
 
 
 class DeclaredClass(NamedTuple):
+    """What is declared of one class."""
+
     effect: Effect
-    window_us: int = 0  # how long endpoints drop a repeat; 0: not told
+    window_us: int = 0  # how long endpoints drop repeated requests; 0: unknown
 
 
 def declared_classes() -> Mapping[str, DeclaredClass]:
@@ -49,21 +51,25 @@
     report = Report(path)
     text = decode_text(read_bytes(path), Location(report))
     document = parse_toml(text, report) if text is not None else None
-    found = CLASSES.read(document, Location(report)) if document is not None else {}
+    rows = CLASSES.read(document, Location(report)) if document is not None else {}
     if report.errors:
         raise UnreadableFileError(f"{DECLARED_CLASSES_VARIABLE}: {report.errors[0]}")
-    return {fold_name(name): DeclaredClass(Effect(row["effect"]), row["window"]) for name, row in found.items()}
+    return {fold_name(name): DeclaredClass(Effect(row["effect"]), row["window"]) for name, row in rows.items()}
 
 
+# By the value of the effect; a class may be treated as a stricter one, never as a weaker one.
 STRICTNESS = {Effect.IDEMPOTENT.value: 0, Effect.DEDUPLICATED.value: 1, Effect.AT_MOST_ONCE.value: 2}
 
 
 def fold_name(name: str) -> str:
-    """A name as a hurried reader, or a lax server, would see it: for names that are another in disguise."""
-    plain = unquote(unquote(name))
-    if not plain.isascii():
+    """Return the name without escapes, case, compatibility characters and punctuation.
+
+    Names that a person or a lenient server could confuse have the same folded form.
+    """
+    folded = unquote(unquote(name))
+    if not folded.isascii():
         import unicodedata
 
-        plain = unicodedata.normalize("NFKC", plain)
-    plain = plain.casefold()
-    return "".join(c for c in plain if c.isalnum())
+        folded = unicodedata.normalize("NFKC", folded)
+    folded = folded.casefold()
+    return "".join(c for c in folded if c.isalnum())
--- a/eiderhub/schema/file_pair.py
+++ b/eiderhub/schema/file_pair.py
@@ -1,4 +1,4 @@
-"""One sidecar's two files, read: what the owners of the operator's tables check theirs against."""
+"""The two configuration files of one sidecar, decoded, as passed to the checks of each operator's table."""
 
 from __future__ import annotations
 
@@ -10,22 +10,25 @@
 
 @dataclass(frozen=True)
 class FilePair:
-    """Either side may be empty: a file that is missing, or could not be read, has its finding already."""
+    """A sidecar's file and its operator's file.
 
-    document: dict[str, Any]  # the sidecar's file, as `sidecar_file.DOCUMENT` read it
-    sidecar: Location
-    tables: dict[str, Any]  # the operator's file, as its owners' tables read it
-    operator: Location
+    Each may be empty: if a file is invalid, its findings were added before.
+    """
+
+    document: dict[str, Any]  # the sidecar's file, converted by `sidecar_file.DOCUMENT`
+    sidecar: Location  # the root of the sidecar's file
+    tables: dict[str, Any]  # the operator's file, converted by the types of its tables
+    operator: Location  # the root of the operator's file
 
     @property
     def settings(self) -> dict[str, Any]:
-        found: dict[str, Any] = self.document.get("settings", {})
-        return found
+        settings: dict[str, Any] = self.document.get("settings", {})
+        return settings
 
     @property
     def categories(self) -> list[dict[str, Any]]:
-        found: list[dict[str, Any]] = self.settings.get("Categories", [])
-        return found
+        categories: list[dict[str, Any]] = self.settings.get("Categories", [])
+        return categories
 
     @property
     def reports(self) -> list[Report]:
--- a/eiderhub/schema/findings.py
+++ b/eiderhub/schema/findings.py
@@ -1,30 +1,34 @@
-"""What a check finds: file, line, key, what is wrong, what follows from it and what to do."""
+"""Findings of configuration checks: the location, what is wrong, the consequence and the remedy."""
 
 from __future__ import annotations
 
 from dataclasses import asdict, dataclass
 from enum import Enum
 
-MAX_FINDINGS = 500  # findings told of one file: past that it is another kind of file, and the rest says nothing new
+MAX_FINDINGS = 500  # per file; a file with more is probably of another kind, and further findings do not help
 
-KeyPath = tuple[str | int, ...]
+KeyPath = tuple[str | int, ...]  # keys of tables and indexes of lists, from the root of a document
 
 
 class Severity(Enum):
-    ERROR = "error"  # it would break a rule, not start, or do something else than written
-    WARNING = "warning"  # it runs soundly, but hardly as meant
+    """How serious a finding is."""
+
+    ERROR = "error"  # the sidecar would not start, would violate a guarantee, or would not do what the file says
+    WARNING = "warning"  # the sidecar works correctly, but probably not as intended
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
+    """One finding. The field names are the keys of the JSON output."""
+
     file: str
-    line: int  # 0: the file as a whole
-    key: str
-    code: str
+    line: int  # counted from 1; 0: the whole file
+    key: str  # as `format_key` formats it; "": the whole file
+    code: str  # stable identifier of the kind of finding
     severity: Severity
-    what: str
-    follows: str
-    do: str
+    what: str  # what is wrong
+    follows: str  # the consequence
+    do: str  # the remedy
 
     def sort_key(self) -> tuple[str, int, str, str, str]:
         return (self.file, self.line, self.key, self.code, self.what)
@@ -33,14 +37,14 @@
         return {**asdict(self), "severity": self.severity.value}
 
     def __str__(self) -> str:
-        place = f"{self.file}:{self.line}" if self.line else self.file
+        position = f"{self.file}:{self.line}" if self.line else self.file
         key = f" {self.key}:" if self.key else ""
-        do = self.do if self.do.endswith("?") else f"{self.do}."
-        return f"{place}:{key} {self.severity.value} [{self.code}] {self.what}. {self.follows}. {do}"
+        remedy = self.do if self.do.endswith("?") else f"{self.do}."
+        return f"{position}:{key} {self.severity.value} [{self.code}] {self.what}. {self.follows}. {remedy}"
 
 
-def show_key(path: KeyPath) -> str:
-    """`settings.Categories[0].Name`."""
+def format_key(path: KeyPath) -> str:
+    """Return a key path as text, such as `settings.Categories[0].Name`."""
     text = ""
     for step in path:
         text += f"[{step}]" if isinstance(step, int) else f".{step}" if text else step
@@ -48,7 +52,7 @@
 
 
 class Report:
-    """The findings of one file; `lines` tells where its keys stand."""
+    """Collects the findings of one file; `lines` maps key paths to line numbers."""
 
     def __init__(self, file: str, lines: dict[KeyPath, int] | None = None) -> None:
         self.file = file
@@ -56,7 +60,7 @@
         self.findings: list[Finding] = []
 
     def line(self, path: KeyPath) -> int:
-        """The line of a key, or of the nearest that holds it."""
+        """Return the line of a key, or of the innermost known container of it, or 0."""
         for end in range(len(path), -1, -1):
             if path[:end] in self.lines:
                 return self.lines[path[:end]]
@@ -64,7 +68,9 @@
 
     def add(self, severity: Severity, path: KeyPath, code: str, what: str, follows: str, do: str) -> None:
         if len(self.findings) < MAX_FINDINGS:
-            self.findings.append(Finding(self.file, self.line(path), show_key(path), code, severity, what, follows, do))
+            self.findings.append(
+                Finding(self.file, self.line(path), format_key(path), code, severity, what, follows, do)
+            )
 
     @property
     def errors(self) -> list[Finding]:
@@ -73,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Location:
-    """A place in a file, to report on."""
+    """A key of one file, to which findings can be added."""
 
     report: Report
     path: KeyPath = ()
@@ -88,8 +94,9 @@
         self.report.add(Severity.WARNING, self.path, code, what, follows, do)
 
     def __str__(self) -> str:
-        return show_key(self.path)
+        return format_key(self.path)
 
 
 def sort_findings(findings: list[Finding]) -> list[Finding]:
+    """Return the findings in the order of files and lines."""
     return sorted(findings, key=Finding.sort_key)
--- a/eiderhub/schema/toml_writer.py
+++ b/eiderhub/schema/toml_writer.py
@@ -1,4 +1,4 @@
-"""Writing TOML: Python reads it and has no writer. Only what can stand in a description, one way for each value."""
+"""Writes TOML, for which the standard library has no writer: values, keys and tables of configuration files."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 
 
 def toml_key(name: str) -> str:
+    """Return a key, quoted if necessary."""
     return name if re.fullmatch(r"[A-Za-z0-9_-]+", name) else toml_value(name)
 
 
 def toml_value(value: Any) -> str:
-    """A text, number, flag, list or inline table."""
+    """Return a string, number, boolean, list or inline table."""
     if isinstance(value, str):
-        # JSON's escapes are TOML's too, but for DEL, which JSON leaves as it is.
+        # TOML has the same escapes as JSON, but also requires one for DEL.
         return json.dumps(value, ensure_ascii=False).replace("\x7f", "\\u007f")
     if isinstance(value, bool):
         return "true" if value else "false"
@@ -27,7 +28,7 @@
 
 
 def toml_table(header: str, table: dict[str, Any]) -> Iterator[str]:
-    """The lines of one table, with an empty one ahead."""
+    """Yield the lines of one table, preceded by an empty line."""
     yield ""
     yield header
     for key, value in table.items():
--- a/tests/config/test_declared.py
+++ b/tests/config/test_declared_classes.py
@@ -1,4 +1,4 @@
-"""What a business declared of its classes stands in a file of its own, and is held against every other file."""
+"""Declared request classes: every configuration file is checked against the file that declares them."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 WEAKER = CORPUS / "bad" / "effect-declared--despacho-idempotent.json"
 
 
-def test_another_customers_class_of_the_same_name_is_not_held_to_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Seen: the names and effects of one customer stood in the program, for all."""
+def test_a_class_without_a_declaration_may_have_any_effect(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against declarations of one customer that are built into the program and apply to all."""
     assert [finding.code for finding in check([str(WEAKER)]).findings] == ["effect-declared"]
     monkeypatch.delenv(DECLARED_CLASSES_VARIABLE)
     assert check([str(WEAKER)]).status == 0
@@ -33,7 +33,7 @@
     ],
     ids=["no effect", "unknown effect", "bad window", "bad syntax", "no file"],
 )
-def test_a_bad_declaration_is_told_and_nothing_starts_unguarded(
+def test_an_invalid_declaration_is_reported_and_prevents_the_start(
     text: str | None, what: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "declared.toml"
@@ -42,7 +42,7 @@
     monkeypatch.setenv(DECLARED_CLASSES_VARIABLE, str(path))
     result = check([str(CORPUS / "base.json")])
     assert result.status == 2
-    (told,) = result.unreadable
-    assert str(path) in told and what in told
+    (message,) = result.unreadable
+    assert str(path) in message and what in message
     with pytest.raises(ConfigError, match=r"declared\.toml"):
         checked({"GW_CONFIG": str(CORPUS / "base.json")}, None)
