--- a/eiderhub/routing/plan.py
+++ b/eiderhub/routing/plan.py
@@ -1,6 +1,6 @@
-"""How a sidecar tells the classes of its requests: by the first part of the path, or by a compiled table of routes.
+"""The plan that gives each request its class: by the first segment of the path, or by a compiled table of routes.
 
-A sidecar without routes needs nothing else of this package.
+A sidecar without routes imports nothing else of this package, except for `request_target`.
 """
 
 from __future__ import annotations
@@ -10,51 +10,49 @@
 from typing import TYPE_CHECKING
 
 from eiderhub.interface import Effect, RequestClass, Settings
-from eiderhub.routing.request_target import RequestAttributes, first_part_of
+from eiderhub.routing.request_target import RequestAttributes, first_segment_of
 
 if TYPE_CHECKING:
-    from eiderhub.routing.table import RouteTable  # the module is there where there are routes
+    from eiderhub.routing.table import RouteTable  # at run time it is imported only if there are routes
 
-FIRST_PART, REFUSE = "first-part", "refuse"  # what takes a request that no route takes
+FIRST_PART, REFUSE = "first-part", "refuse"  # what happens to requests that match no route
 
-# PROTOCOL: the method follows from the class.
+# The platform's HTTP protocol: the method depends on the class's effect.
 METHOD = {Effect.IDEMPOTENT: "GET", Effect.DEDUPLICATED: "POST", Effect.AT_MOST_ONCE: "POST"}
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """How requests are told apart. Made whole, swapped whole."""
+    """Maps requests to classes. A plan is immutable; a reload replaces it as a whole."""
 
-    settings: Settings  # with the variants among its classes
+    settings: Settings  # its classes include the variants
     default: str = FIRST_PART
     table: RouteTable | None = None
-    classes_by_route: Mapping[str, RequestClass] = field(default_factory=dict)  # by the route's name
-    classes_by_first_segment: Mapping[bytes, RequestClass] = field(default_factory=dict)  # classes and their aliases
-    routed_headers: frozenset[bytes] = frozenset()  # in lower case: those that some route looks at
-    deadline_limits_us: Mapping[str, int] = field(
-        default_factory=dict
-    )  # deadlines that routes make tighter, by variant
+    classes_by_route: Mapping[str, RequestClass] = field(default_factory=dict)  # by the name of the route
+    classes_by_first_segment: Mapping[bytes, RequestClass] = field(default_factory=dict)  # with aliases
+    routed_headers: frozenset[bytes] = frozenset()  # names in lower case, of all routes
+    deadline_limits_us: Mapping[str, int] = field(default_factory=dict)  # shorter deadlines of variants, by name
 
     @property
     def variants(self) -> list[RequestClass]:
         return [c for c in self.settings.classes if c.variant_of]
 
     def class_at_path(self, path: bytes) -> RequestClass | None:
-        """As `grade` where there are no routes: nothing but the path is looked at. Raises `target.Refused`."""
-        first = first_part_of(path)
-        return None if self.default == REFUSE else self.classes_by_first_segment.get(first)
+        """Return the class of a request with this path, for plans without routes. Raises `InvalidTargetError`."""
+        segment = first_segment_of(path)
+        return None if self.default == REFUSE else self.classes_by_first_segment.get(segment)
 
-    def class_of(self, asked: RequestAttributes) -> RequestClass | None:
-        """The class of a request, or its variant; None where nothing takes it. Raises `target.Refused`."""
+    def class_of(self, request: RequestAttributes) -> RequestClass | None:
+        """Return the class or variant of a request, or None if nothing matches. Raises `InvalidTargetError`."""
         if self.table is not None:
-            route = self.table.find(asked)
+            route = self.table.find(request)
             if route is not None:
                 return self.classes_by_route[route.name]
-        if self.default == REFUSE or not asked.segments:
+        if self.default == REFUSE or not request.segments:
             return None
-        return self.classes_by_first_segment.get(asked.segments[0])
+        return self.classes_by_first_segment.get(request.segments[0])
 
 
 def default_plan(settings: Settings) -> Plan:
-    """Today's rule alone: the first part of the path is the class."""
+    """Return the plan of a sidecar without routes: the first segment of the path is the class."""
     return Plan(settings, classes_by_first_segment={c.name.encode(): c for c in settings.classes})
--- a/eiderhub/routing/table.py
+++ b/eiderhub/routing/table.py
@@ -1,13 +1,14 @@
-"""The table of routes: what a route asks of a request, which of two is the more specific, and the look-up.
+"""Routes, their order of precedence, and the table that finds the route of a request.
 
-Order, total and never by place in the file. Of the routes that match, the one wins that comes first by:
+The order is total and does not depend on positions in the file. Of the routes that match a request, the first one in
+this order is used:
 
-1. path, from the left: a literal part before `{name}`, and either before the end of a prefix (`/*`);
+1. path, from the left: a literal segment before `{name}`, and either before the end of a prefix (`/*`);
 2. more conditions (tenant, method, protocol, service, call, headers, query values) before fewer;
-3. the names of the conditions, in the order of `Condition` keys, and then their values.
+3. the names of the conditions, in the order of `condition_order`, and then their values.
 
-Where one route's requests are all another's too, 1 and 2 alone let the narrower win. Where two overlap and neither
-is the narrower, rule 3 would decide by accident: the checker refuses such a pair (`routing.conflicts`).
+If a route matches a subset of another one's requests, 1 and 2 suffice to prefer it. If two routes overlap and neither
+is more specific, 3 would be an arbitrary choice, so the checker rejects such a pair (`routing.conflicts`).
 """
 
 from __future__ import annotations
@@ -18,18 +19,18 @@
 
 from eiderhub.routing.request_target import RequestAttributes, query_values, segments_of
 
-MAX_ROUTES = 10_000  # of one table: a few bytes each, but a file past this was made by mistake
-MAX_SHAPES = 16  # sets of conditions at one path: each costs a look in a dictionary for each request
+MAX_ROUTES = 10_000  # per table; routes take little memory, but a file with more was probably made by mistake
+MAX_SHAPES = 16  # different sets of condition names at one path; each costs a dictionary look-up per request
 
-# What a condition looks at: ("tenant",), ("method",), ("header", name) and the like.
+# The attribute that a condition compares: ("tenant",), ("method",), ("header", name) and so on.
 Condition = tuple[str, ...]
-PLAIN = ("tenant", "method", "protocol", "service", "call")  # conditions that carry no name of their own
-ANY_SEGMENT = b"{}"  # in a pattern: any one part
-ANY_SUFFIX = b"*"  # in a pattern, at its end: nothing, or any parts
+UNNAMED_CONDITIONS = ("tenant", "method", "protocol", "service", "call")  # conditions without a name
+ANY_SEGMENT = b"{}"  # in a pattern: matches one segment
+ANY_SUFFIX = b"*"  # at the end of a pattern: matches any number of segments
 
 
 class Pattern(NamedTuple):
-    """A path's pattern: literal parts in lower case, `PARAM` for any, and whether it is a prefix."""
+    """A pattern of paths: segments in lower case, or `ANY_SEGMENT`, and whether further segments may follow."""
 
     segments: tuple[bytes, ...]
     is_prefix: bool
@@ -44,10 +45,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One route. Conditions that are None or empty ask nothing."""
+    """One route. Conditions that are None or empty match every request."""
 
     name: str
-    class_name: str  # the class
+    class_name: str
     pattern: Pattern = ANY_PATH
     methods: frozenset[str] = frozenset()
     protocol: str | None = None
@@ -57,26 +58,26 @@
     headers: tuple[tuple[str, str], ...] = ()  # names in lower case
     query: tuple[tuple[str, str], ...] = ()
     pool: str | None = None
-    deadline_us: int = 0  # 0: the class's own
-    attempts: int = 0  # 0: the site's
+    deadline_us: int = 0  # 0: as the class
+    attempts: int = 0  # 0: as the settings allow
 
     def outcome(self) -> tuple[str, str | None, int, int]:
-        """What it does with a request."""
+        """Return the class, pool, deadline and attempts that matching requests get."""
         return self.class_name, self.pool, self.deadline_us, self.attempts
 
     def conditions(self) -> dict[Condition, str]:
-        """What it asks beside path and method."""
-        found: dict[Condition, str] = {}
+        """Return the required values, except for the path and the methods."""
+        conditions: dict[Condition, str] = {}
         for key in ("tenant", "protocol", "service", "call"):
             value = getattr(self, key)
             if value is not None:
-                found[(key,)] = value
-        found.update({("header", name): value for name, value in self.headers})
-        found.update({("query", name): value for name, value in self.query})
-        return found
+                conditions[(key,)] = value
+        conditions.update({("header", name): value for name, value in self.headers})
+        conditions.update({("query", name): value for name, value in self.query})
+        return conditions
 
     def entries(self) -> Iterator[dict[Condition, str]]:
-        """Its conditions, once for each method that it names."""
+        """Yield the conditions, once for each method that the route names."""
         base = self.conditions()
         if not self.methods:
             yield base
@@ -85,110 +86,115 @@
 
 
 def condition_order(condition: Condition) -> tuple[int, Condition]:
-    """Where a condition stands in the order: the plain ones first, then headers and query values by name."""
-    return (PLAIN.index(condition[0]) if condition[0] in PLAIN else len(PLAIN), condition)
+    """Return the sort key of a condition: those without a name first, then headers and query values by name."""
+    return (
+        UNNAMED_CONDITIONS.index(condition[0]) if condition[0] in UNNAMED_CONDITIONS else len(UNNAMED_CONDITIONS),
+        condition,
+    )
 
 
-Shape = tuple[Condition, ...]
+Shape = tuple[Condition, ...]  # the condition names of a route, in the order of `condition_order`
 
 
-Group = tuple[Shape, dict[tuple[str, ...], Route]]  # routes that ask for the same things, by what they ask of them
+Group = tuple[Shape, dict[tuple[str, ...], Route]]  # routes with the same condition names, by the required values
 
 
 class _Node:
-    """One place in the tree of paths. Most have only one of these: what is empty is shared."""
+    """One node of the path tree. Most nodes have few children, so an empty dictionary of literals is shared."""
 
-    __slots__ = ("exact", "literals", "param", "rest")
+    __slots__ = ("any_segment", "exact", "literals", "prefixed")
 
     def __init__(self) -> None:
         self.literals: dict[bytes, _Node] = _NO_LITERALS
-        self.param: _Node | None = None
-        self.exact: tuple[Group, ...] = ()
-        self.rest: tuple[Group, ...] = ()
+        self.any_segment: _Node | None = None
+        self.exact: tuple[Group, ...] = ()  # routes whose path ends here
+        self.prefixed: tuple[Group, ...] = ()  # routes whose prefix ends here
 
 
 _NO_LITERALS: dict[bytes, _Node] = {}
 
 
 class TableError(ValueError):
-    """Routes that make no table: two that ask the same, or too many of something."""
+    """The routes can't be compiled: two are equal, or there are too many routes or shapes."""
 
 
 class RouteTable:
-    """Routes, compiled once. A look-up walks the request's path and tries the few shapes that stand there."""
+    """Compiled routes. A look-up follows the request's path in a tree and tries the shapes at each matching node."""
 
     def __init__(self, routes: Iterable[Route]) -> None:
         self.routes = tuple(routes)
         if len(self.routes) > MAX_ROUTES:
-            raise TableError(f"{len(self.routes)} routes; {MAX_ROUTES} are the most")
+            raise TableError(f"{len(self.routes)} routes; at most {MAX_ROUTES} are allowed")
         self._root = _Node()
-        self._queries = frozenset(name for r in self.routes for name, _ in r.query)
+        self._query_names = frozenset(name for r in self.routes for name, _ in r.query)
         for route in self.routes:
-            self._place(route)
+            self._insert(route)
 
-    def _place(self, route: Route) -> None:
+    def _insert(self, route: Route) -> None:
         node = self._root
-        for part in route.pattern.segments:
-            if part == ANY_SEGMENT:
-                node.param = node.param or _Node()
-                node = node.param
+        for segment in route.pattern.segments:
+            if segment == ANY_SEGMENT:
+                node.any_segment = node.any_segment or _Node()
+                node = node.any_segment
             else:
                 if node.literals is _NO_LITERALS:
                     node.literals = {}
-                node = node.literals.setdefault(part, _Node())
+                node = node.literals.setdefault(segment, _Node())
         if route.pattern.is_prefix:
-            node.rest = _with(node.rest, route)
+            node.prefixed = _with_route(node.prefixed, route)
         else:
-            node.exact = _with(node.exact, route)
+            node.exact = _with_route(node.exact, route)
 
-    def find(self, asked: RequestAttributes) -> Route | None:
-        """The most specific route that takes the request, or None. Raises `target.Refused` on two query values.
+    def find(self, request: RequestAttributes) -> Route | None:
+        """Return the most specific route that matches the request, or None.
 
-        Depth first, in the stated order. What comes after the literal branch waits in `later`, so that the usual
-        request, which its first branch takes, goes straight down.
+        Raises `InvalidTargetError` if a query value that some route looks at is given twice.
+
+        The search is depth first, in the order of precedence. Alternatives to the literal branch are kept in
+        `later`, so that the usual request, which matches in its first branch, needs no backtracking.
         """
-        query = query_values(asked.query, self._queries) if self._queries and asked.query else {}
-        parts = [part.lower() for part in asked.segments]
-        end = len(parts)
-        later: list[tuple[_Node, int]] = []  # nodes to go on from, with the part that comes next; -1: a prefix's end
+        query = query_values(request.query, self._query_names) if self._query_names and request.query else {}
+        segments = [segment.lower() for segment in request.segments]
+        end = len(segments)
+        later: list[tuple[_Node, int]] = []  # nodes to continue at, with the next segment's index; -1: only prefixes
         node: _Node | None = self._root
-        at = 0
+        index = 0
         while True:
             if node is None:
                 if not later:
                     return None
-                node, at = later.pop()
-            if 0 <= at < end:
-                if node.rest:
+                node, index = later.pop()
+            if 0 <= index < end:
+                if node.prefixed:
                     later.append((node, -1))
-                if node.param is not None:
-                    later.append((node.param, at + 1))
-                node = node.literals.get(parts[at])
-                at += 1
+                if node.any_segment is not None:
+                    later.append((node.any_segment, index + 1))
+                node = node.literals.get(segments[index])
+                index += 1
                 continue
-            # A path that ends here may be the node's own, or one that a prefix ends with.
-            found = _first(node.exact, asked, query) if at >= 0 else None
-            if found is None and node.rest:
-                found = _first(node.rest, asked, query)
-            if found is not None:
-                return found
+            # A path that ends here matches the node's exact routes first, and then its prefixes.
+            route = _first_match(node.exact, request, query) if index >= 0 else None
+            if route is None and node.prefixed:
+                route = _first_match(node.prefixed, request, query)
+            if route is not None:
+                return route
             node = None
 
 
-def _with(groups: tuple[Group, ...], route: Route) -> tuple[Group, ...]:
-    """The groups of one place with a route more, in the order in which they are tried. Raises `TableError`."""
+def _with_route(groups: tuple[Group, ...], route: Route) -> tuple[Group, ...]:
+    """Return a node's groups with a route added, in the order in which they are tried. Raises `TableError`."""
     for conditions in route.entries():
         shape = tuple(sorted(conditions, key=condition_order))
         values = tuple(conditions[key] for key in shape)
-        group = next((found for known, found in groups if known == shape), None)
+        group = next((routes for known, routes in groups if known == shape), None)
         if group is None:
             if len(groups) == MAX_SHAPES:
-                raise TableError(f"{route.pattern}: over {MAX_SHAPES} sets of conditions at one path")
+                raise TableError(f"{route.pattern}: more than {MAX_SHAPES} sets of conditions at one path")
             group = {}
             groups = tuple(sorted((*groups, (shape, group)), key=_group_order))
-        taken = group.setdefault(values, route)
-        if taken is not route:
-            raise TableError(f"routes {taken.name!r} and {route.name!r} ask the same")
+        existing = group.setdefault(values, route)
+        if existing is not route:
+            raise TableError(f"routes {existing.name!r} and {route.name!r} match the same requests")
     return groups
 
 
@@ -196,58 +202,58 @@
     return -len(group[0]), [condition_order(condition) for condition in group[0]]
 
 
-def _first(groups: tuple[Group, ...], asked: RequestAttributes, query: Mapping[str, str]) -> Route | None:
+def _first_match(groups: tuple[Group, ...], request: RequestAttributes, query: Mapping[str, str]) -> Route | None:
     for shape, group in groups:
         if not shape:
             return group[()]
         values = []
         for condition in shape:
-            value = value_of(condition, asked, query)
+            value = value_of(condition, request, query)
             if value is None:
                 break
             values.append(value)
         else:
-            found = group.get(tuple(values))
-            if found is not None:
-                return found
+            route = group.get(tuple(values))
+            if route is not None:
+                return route
     return None
 
 
-def value_of(condition: Condition, asked: RequestAttributes, query: Mapping[str, str]) -> str | None:
-    """What the request has where a condition looks; None: nothing."""
+def value_of(condition: Condition, request: RequestAttributes, query: Mapping[str, str]) -> str | None:
+    """Return the request's value for a condition, or None if it has none."""
     kind = condition[0]
     if kind == "method":
-        return asked.method
+        return request.method
     if kind == "tenant":
-        return asked.tenant
+        return request.tenant
     if kind == "header":
-        value = asked.headers.get(condition[1].encode("latin-1"))
+        value = request.headers.get(condition[1].encode("latin-1"))
         return None if value is None else value.decode("latin-1")
     if kind == "query":
         return query.get(condition[1])
     if kind == "protocol":
-        return asked.protocol
-    return asked.service if kind == "service" else asked.call
+        return request.protocol
+    return request.service if kind == "service" else request.call
 
 
 def parse_pattern(text: str) -> Pattern:
-    """A pattern as the operator's file writes it: `/a/b`, `/a/{id}/b`, `/a/*`. Raises ValueError saying why."""
-    prefix = text == "/*" or text.endswith("/*")
-    body = text[:-2] or "/" if prefix else text
-    shown = body.replace("{", "").replace("}", "")
+    """Parse a pattern of the operator's file: `/a/b`, `/a/{id}/b`, `/a/*`. Raises ValueError with the reason."""
+    is_prefix = text == "/*" or text.endswith("/*")
+    path = text[:-2] or "/" if is_prefix else text
+    without_braces = path.replace("{", "").replace("}", "")
     try:
-        segments_of(shown.encode("utf-8"))
+        segments_of(without_braces.encode("utf-8"))
     except ValueError as error:
         raise ValueError(f"{text!r}: {error}; no request could have this path") from None
-    parts = []
-    for part in body.strip("/").split("/") if body != "/" else []:
+    segments = []
+    for part in path.strip("/").split("/") if path != "/" else []:
         if "{" in part or "}" in part:
-            inner = part[1:-1]
-            if not (part.startswith("{") and part.endswith("}")) or not inner.replace("_", "a").isalnum():
-                raise ValueError(f"{text!r}: {part!r} is no {{name}} that fills a whole part")
-            parts.append(ANY_SEGMENT)
+            name = part[1:-1]
+            if not (part.startswith("{") and part.endswith("}")) or not name.replace("_", "a").isalnum():
+                raise ValueError(f"{text!r}: {part!r} is not a {{name}} that is a whole segment")
+            segments.append(ANY_SEGMENT)
         elif "*" in part:
-            raise ValueError(f"{text!r}: '*' stands only for the rest of a path, at its end")
+            raise ValueError(f"{text!r}: '*' is allowed only as the last segment of a path")
         else:
-            parts.extend(segment.lower() for segment in segments_of(b"/" + part.encode("utf-8")))
-    return Pattern(tuple(parts), prefix)
+            segments.extend(segment.lower() for segment in segments_of(b"/" + part.encode("utf-8")))
+    return Pattern(tuple(segments), is_prefix)
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -131,7 +131,7 @@
 
 
 def test_two_routes_that_ask_the_same_make_no_table() -> None:
-    with pytest.raises(TableError, match="'one' and 'two' ask the same"):
+    with pytest.raises(TableError, match="'one' and 'two' match the same requests"):
         RouteTable([route("one", "/a/{x}"), route("two", "/A/{y}/")])
 
 
