--- a/eiderhub/routing/conflicts.py
+++ b/eiderhub/routing/conflicts.py
@@ -1,4 +1,7 @@
-"""Which routes contradict each other, and which can never be reached. Slow and thorough; used by the checker."""
+"""Finds routes that conflict and routes that no request can reach.
+
+It compares all pairs of routes that may overlap, which only the checker can afford.
+"""
 
 from __future__ import annotations
 
@@ -10,122 +13,124 @@
 
 
 class Conflict(NamedTuple):
-    """Two routes (by their places), and what is wrong between them."""
+    """Two routes, by index, and how they conflict."""
 
     first: int
     second: int
-    kind: str  # "same" or "twice" (the same match; with another outcome, or not), or "overlap"
-    example: str  # a path that both take
+    kind: str  # "twice": equal; "same": they match the same requests with different outcomes; "overlap"
+    example: str  # a path that both match
 
 
 def intersect(a: Pattern, b: Pattern) -> Pattern | None:
-    """The pattern of the paths that both take, or None. Two patterns meet in one pattern at the most."""
+    """Return the pattern of the paths that both match, or None. The intersection is always a single pattern."""
     if len(a.segments) < len(b.segments):
         a, b = b, a
     if len(a.segments) > len(b.segments) and not b.is_prefix:
         return None
-    parts = []
-    for i, part in enumerate(a.segments):
+    segments = []
+    for i, segment in enumerate(a.segments):
         other = b.segments[i] if i < len(b.segments) else ANY_SEGMENT
-        if ANY_SEGMENT not in (part, other) and part != other:
+        if ANY_SEGMENT not in (segment, other) and segment != other:
             return None
-        parts.append(other if part == ANY_SEGMENT else part)
+        segments.append(other if segment == ANY_SEGMENT else segment)
     if len(a.segments) == len(b.segments):
-        return Pattern(tuple(parts), a.is_prefix and b.is_prefix)
-    return Pattern(tuple(parts), a.is_prefix)
+        return Pattern(tuple(segments), a.is_prefix and b.is_prefix)
+    return Pattern(tuple(segments), a.is_prefix)
 
 
 def example_path(pattern: Pattern) -> str:
-    """A path that the pattern takes."""
-    parts = ["x" if part == ANY_SEGMENT else part.decode("ascii") for part in pattern.segments]
-    return "/" + "/".join(parts + ["x"] * pattern.is_prefix)
+    """Return a path that the pattern matches."""
+    segments = ["x" if segment == ANY_SEGMENT else segment.decode("ascii") for segment in pattern.segments]
+    return "/" + "/".join(segments + ["x"] * pattern.is_prefix)
 
 
 class RequestSet(NamedTuple):
-    """What a route takes: a pattern and conditions, one value for each. A route has one for each method."""
+    """The requests that match a pattern and have one value for each condition."""
 
     pattern: Pattern
     conditions: frozenset[tuple[Condition, str]]
 
     def intersect(self, other: RequestSet) -> RequestSet | None:
+        """Return the requests in both sets, or None if there are none."""
         pattern = intersect(self.pattern, other.pattern)
-        both = self.conditions | other.conditions
-        if pattern is None or len({key for key, _ in both}) != len(both):
+        conditions = self.conditions | other.conditions
+        if pattern is None or len({key for key, _ in conditions}) != len(conditions):
             return None
-        return RequestSet(pattern, both)
+        return RequestSet(pattern, conditions)
 
 
 def request_sets(route: Route) -> list[RequestSet]:
+    """Return what a route matches: one set for each of its methods, or a single one."""
     return [RequestSet(route.pattern, frozenset(entry.items())) for entry in route.entries()]
 
 
-def _pairs(routes: Sequence[Route]) -> Iterator[tuple[int, int]]:
-    """Pairs that may overlap: by the first part of the path, or one of them has none that is literal."""
-    first: dict[bytes, list[int]] = defaultdict(list)
-    loose: list[int] = []
+def _candidate_pairs(routes: Sequence[Route]) -> Iterator[tuple[int, int]]:
+    """Yield the pairs of indexes that may overlap: with the same first segment, or one without a literal one."""
+    by_first_segment: dict[bytes, list[int]] = defaultdict(list)
+    without_literal: list[int] = []
     for i, route in enumerate(routes):
-        parts = route.pattern.segments
-        if parts and parts[0] != ANY_SEGMENT:
-            first[parts[0]].append(i)
+        segments = route.pattern.segments
+        if segments and segments[0] != ANY_SEGMENT:
+            by_first_segment[segments[0]].append(i)
         else:
-            loose.append(i)
-    for group in first.values():
+            without_literal.append(i)
+    for group in by_first_segment.values():
         for n, i in enumerate(group):
             for j in group[n + 1 :]:
                 yield i, j
-    for n, i in enumerate(loose):
-        for j in loose[n + 1 :]:
+    for n, i in enumerate(without_literal):
+        for j in without_literal[n + 1 :]:
             yield i, j
-        for group in first.values():
+        for group in by_first_segment.values():
             for j in group:
                 yield min(i, j), max(i, j)
 
 
 def find_conflicts(routes: Sequence[Route]) -> list[Conflict]:
-    """All contradictions: the same match twice, overlaps with no most specific route and another outcome."""
-    taken = [request_sets(route) for route in routes]
-    all_claims = {claim for own in taken for claim in own}
-    found = []
-    for i, j in _pairs(routes):
-        kind, example = _between(routes[i], routes[j], taken[i], taken[j], all_claims)
+    """Return all conflicts: equal routes, and overlaps with different outcomes and no most specific route."""
+    sets = [request_sets(route) for route in routes]
+    all_sets = {request_set for own in sets for request_set in own}
+    conflicts = []
+    for i, j in _candidate_pairs(routes):
+        kind, example = _compare(routes[i], routes[j], sets[i], sets[j], all_sets)
         if kind:
-            found.append(Conflict(i, j, kind, example))
-    return sorted(found)
+            conflicts.append(Conflict(i, j, kind, example))
+    return sorted(conflicts)
 
 
-def _apart(a: Route, b: Route) -> bool:
-    """No protocol has both a path or a method of HTTP's and a service with calls."""
+def _are_disjoint(a: Route, b: Route) -> bool:
+    """Whether `a` needs a service or call and `b` an HTTP path or method: no protocol has both."""
     return bool(a.service or a.call) and (b.pattern != ANY_PATH or bool(b.methods))
 
 
-def _between(
+def _compare(
     a: Route, b: Route, own: list[RequestSet], others: list[RequestSet], known: set[RequestSet]
 ) -> tuple[str, str]:
-    if _apart(a, b) or _apart(b, a):
+    if _are_disjoint(a, b) or _are_disjoint(b, a):
         return "", ""
-    differ = a.outcome() != b.outcome()
-    for claim in own:
+    outcomes_differ = a.outcome() != b.outcome()
+    for request_set in own:
         for other in others:
-            both = claim.intersect(other)
-            if both is None:
+            overlap = request_set.intersect(other)
+            if overlap is None:
                 continue
-            if claim == other:
-                return "same" if differ else "twice", example_path(both.pattern)
-            # A third route that takes just what both take settles which of them it is.
-            if differ and both not in (claim, other) and both not in known:
-                return "overlap", example_path(both.pattern)
+            if request_set == other:
+                return "same" if outcomes_differ else "twice", example_path(overlap.pattern)
+            # A third route that matches exactly the overlap resolves the conflict.
+            if outcomes_differ and overlap not in (request_set, other) and overlap not in known:
+                return "overlap", example_path(overlap.pattern)
     return "", ""
 
 
 def unreachable(routes: Sequence[Route], methods_of: dict[str, frozenset[str]], tenants: frozenset[str]) -> list[int]:
-    """Routes that no request can take: a method that the class never has, or a tenant that does not exist.
+    """Return the indexes of routes that no request can match, because of their methods or an unknown tenant.
 
-    `methods_of` tells the methods of each class; `tenants` is empty where the site has none.
+    `methods_of` maps class names to the methods of their requests; `tenants` is empty if the site has none.
     """
-    found = []
+    indexes = []
     for i, route in enumerate(routes):
         allowed = methods_of.get(route.class_name)
-        no_method = bool(route.methods and allowed is not None and not route.methods & allowed)
-        if no_method or (route.tenant is not None and route.tenant not in tenants):
-            found.append(i)
-    return found
+        has_no_method = bool(route.methods and allowed is not None and not route.methods & allowed)
+        if has_no_method or (route.tenant is not None and route.tenant not in tenants):
+            indexes.append(i)
+    return indexes
--- a/eiderhub/routing/options.py
+++ b/eiderhub/routing/options.py
@@ -1,4 +1,4 @@
-"""The operator's tables for routing: `[routing]`, `[classes.NAME]`, `[pools.NAME]` and `[[routes]]`."""
+"""The tables of the operator's file for routing: `[routing]`, `[classes.NAME]`, `[pools.NAME]` and `[[routes]]`."""
 
 from __future__ import annotations
 
@@ -36,22 +36,23 @@
 
 HTTP = "http"
 PROTOCOLS = (HTTP, "thrift")
+# Values of the key `repeat`, and the effect of a class that each stands for.
 EFFECT_BY_REPEAT = {"harmless": Effect.IDEMPOTENT, "keyed": Effect.DEDUPLICATED, "never": Effect.AT_MOST_ONCE}
-REPEAT_BY_EFFECT = {effect.value: word for word, effect in EFFECT_BY_REPEAT.items()}
-TOKEN = r"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,64}"  # RFC 9110, 5.6.2: what a method or a header's name may hold
-LABEL = Text(r"[^=\x00-\x1f]{1,128}", "a text without '='")
+REPEAT_BY_EFFECT = {effect.value: repeat for repeat, effect in EFFECT_BY_REPEAT.items()}
+TOKEN = r"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,64}"  # RFC 9110, 5.6.2: methods and names of headers
+LABEL = Text(r"[^=\x00-\x1f]{1,128}", "a string without '='")
 
 
 @dataclass(frozen=True)
 class PathText:
-    """A pattern, read by the same code that reads requests."""
+    """A path pattern, parsed by the same code as the paths of requests."""
 
     description: str = 'a path such as "/stock", "/stock/{id}" or "/stock/*"'
 
     def read(self, value: object, location: Location) -> Any:
         if not isinstance(value, str):
             location.error(
-                "route-path", f"{value!r} is no text", "No sidecar starts from it", f"Write {self.description}"
+                "route-path", f"{value!r} is not a string", "The sidecar would not start", f"Write {self.description}"
             )
             return INVALID
         try:
@@ -63,19 +64,19 @@
 
 ROUTE = Table(
     (
-        Key("name", NAME_TEXT, "what the route is called, in logs and by the tool"),
+        Key("name", NAME_TEXT, "the route's name, for logs and the tool"),
         Key("class", Text(r".{1,128}", "a class's name"), "the class of its requests"),
-        Key("path", PathText(), "exact, with {name} for any one part, or with /* for all below", Pattern((), True)),
-        Key("method", OneOrMore(Text(TOKEN, 'a method such as "GET"')), "the methods that it takes", ()),
-        Key("protocol", Choice(PROTOCOLS), "the protocol that it takes", None),
-        Key("tenant", Text(r".{1,128}", "a tenant's name"), "the tenant that it takes", None),
-        Key("service", Text(r"[^\x00-\x1f]{1,128}", "a service's name"), "the service, where there is one", None),
-        Key("call", Text(r"[^\x00-\x1f]{1,128}", "a method's name"), "the method called on the service", None),
-        Key("headers", MapOf(Text(r"[\x20-\x7e]{0,256}", "a header's value"), TOKEN, 8), "headers it asks for", {}),
-        Key("query", MapOf(Text(r"[^\x00-\x1f]{0,256}", "a value"), r".{1,64}", 8), "query values it asks for", {}),
+        Key("path", PathText(), "exact, with {name} for any segment, or a prefix with /*", Pattern((), True)),
+        Key("method", OneOrMore(Text(TOKEN, 'a method such as "GET"')), "the methods that it matches", ()),
+        Key("protocol", Choice(PROTOCOLS), "the protocol that it matches", None),
+        Key("tenant", Text(r".{1,128}", "a tenant's name"), "the tenant that it matches", None),
+        Key("service", Text(r"[^\x00-\x1f]{1,128}", "a service's name"), "the service that it matches", None),
+        Key("call", Text(r"[^\x00-\x1f]{1,128}", "a method's name"), "the method of the service that it matches", None),
+        Key("headers", MapOf(Text(r"[\x20-\x7e]{0,256}", "a header's value"), TOKEN, 8), "headers that it matches", {}),
+        Key("query", MapOf(Text(r"[^\x00-\x1f]{0,256}", "a value"), r".{1,64}", 8), "query values that it matches", {}),
         Key("pool", NAME_TEXT, "the pool of endpoints that serves it", None),
-        Key("deadline", Duration(1, HOUR_US), "its time, where that is shorter than the class's", 0),
-        Key("attempts", Int(1, 100), "its attempts, where these are fewer than the site's", 0),
+        Key("deadline", Duration(1, HOUR_US), "its deadline, if it is shorter than the class's", 0),
+        Key("attempts", Int(1, 100), "its attempts, if they are fewer than the site's", 0),
     )
 )
 TABLES: dict[str, ValueType] = {
@@ -84,7 +85,7 @@
             Key(
                 "default",
                 Choice((FIRST_PART, REFUSE)),
-                "what becomes of a request that no route takes: the first part of its path is its class, or 404",
+                "what happens to a request that no route matches: the first part of its path is its class, or 404",
                 FIRST_PART,
             ),
         )
@@ -95,13 +96,13 @@
                 Key(
                     "repeat",
                     Choice(tuple(EFFECT_BY_REPEAT)),
-                    "what a repeat does; held against the sidecar's file",
+                    "what a repeat does; checked against the sidecar's file",
                     None,
                 ),
-                Key("remembered", Duration(1, HOUR_US), "how long endpoints drop a repeated key", None),
-                Key("aliases", OneOrMore(Text(r".{1,128}", "a name")), "further first parts that mean the class", ()),
-                Key("retries", Flag(), "false: one attempt and no more; true: as the class and the site allow", None),
-                Key("second_copies", Flag(), "false: never two attempts together; true: as the class allows", None),
+                Key("remembered", Duration(1, HOUR_US), "how long endpoints drop repeated keys", None),
+                Key("aliases", OneOrMore(Text(r".{1,128}", "a name")), "further first segments for the class", ()),
+                Key("retries", Flag(), "false: only one attempt; true: as the class and the site allow", None),
+                Key("second_copies", Flag(), "false: no hedged requests; true: as the class allows", None),
             )
         ),
         r"[^\x00-\x1f]{1,128}",
@@ -110,8 +111,8 @@
         Table(
             (
                 Key("zones", OneOrMore(Text(description="a zone's name")), "the zones of its endpoints", None),
-                Key("kinds", OneOrMore(Text(description="a kind's name")), "their kinds of machine", None),
-                Key("labels", MapOf(LABEL, r"[^=\x00-\x1f]{1,128}", 16), "facts that its endpoints state", {}),
+                Key("kinds", OneOrMore(Text(description="a kind's name")), "the kinds of its machines", None),
+                Key("labels", MapOf(LABEL, r"[^=\x00-\x1f]{1,128}", 16), "labels that its endpoints have", {}),
             )
         )
     ),
@@ -119,10 +120,11 @@
 }
 
 
-# --- from tables to a plan ---
+# --- conversion to a plan ---
 
 
 def route_of(row: dict[str, Any]) -> Route:
+    """Return the route of a converted row of `[[routes]]`."""
     return Route(
         row["name"],
         row["class"],
@@ -141,6 +143,7 @@
 
 
 def pool_of(name: str, row: dict[str, Any]) -> PoolRule:
+    """Return the pool of a converted table `[pools.NAME]`."""
     return PoolRule(
         name,
         frozenset(row["zones"]) if row["zones"] else None,
@@ -150,7 +153,7 @@
 
 
 def make_plan(tables: dict[str, Any], settings: Settings) -> Plan:
-    """The plan of an operator's file that was checked against these settings."""
+    """Return the plan of an operator's file that was checked against these settings."""
     classes = tables.get("classes", {})
     return compile_plan(
         settings,
@@ -169,60 +172,63 @@
 
 
 def check(pair: FilePair) -> None:
-    """What is well-formed and wrong in these tables, alone and against the sidecar's file."""
+    """Add findings for errors in valid tables, by themselves and together with the sidecar's file."""
     effects = {row["Name"]: row["Effect"] for row in pair.categories if "Name" in row and "Effect" in row}
     _check_classes(pair, effects)
     _check_pools(pair)
-    placed = pair.tables.get("routes", [])
-    rows, spots = [row for _, row in placed], [location for location, _ in placed]
-    _check_names(rows, spots)
-    for row, location in zip(rows, spots, strict=True):
+    located_rows = pair.tables.get("routes", [])
+    rows, locations = [row for _, row in located_rows], [location for location, _ in located_rows]
+    _check_names(rows, locations)
+    for row, location in zip(rows, locations, strict=True):
         _check_route(pair, row, location, effects)
-    _check_between(pair, rows, spots, effects)
+    _check_all_routes(pair, rows, locations, effects)
 
 
-def _check_names(rows: list[dict[str, Any]], spots: list[Location]) -> None:
+def _check_names(rows: list[dict[str, Any]], locations: list[Location]) -> None:
     seen: set[str] = set()
-    for row, location in zip(rows, spots, strict=True):
+    for row, location in zip(rows, locations, strict=True):
         if row["name"] in seen:
             (location / "name").error(
-                "duplicate", f"the route {row['name']!r} is there twice", "Logs could not tell them apart", "Rename one"
+                "duplicate", f"the route {row['name']!r} appears twice", "Logs would not distinguish them", "Rename one"
             )
         seen.add(row["name"])
 
 
-def _known(found: str | None, known: set[str], location: Location, code: str, what: str, follows: str) -> bool:
-    if found is None or found in known:
+def _check_known(name: str | None, known: set[str], location: Location, code: str, what: str, follows: str) -> bool:
+    """Whether the name is None or known; otherwise add a finding."""
+    if name is None or name in known:
         return True
-    location.error(code, f"there is no {what} {found!r}", follows, did_you_mean(found, known))
+    location.error(code, f"there is no {what} {name!r}", follows, did_you_mean(name, known))
     return False
 
 
 def _check_route(pair: FilePair, row: dict[str, Any], location: Location, effects: dict[str, str]) -> None:
     names = {c["Name"] for c in pair.categories if "Name" in c}
     if pair.document:
-        if _known(row["class"], names, location / "class", "unknown-class", "class", "No sidecar starts from it"):
+        if _check_known(
+            row["class"], names, location / "class", "unknown-class", "class", "The sidecar would not start"
+        ):
             _check_effect(row, location, effects)
             _check_limits(pair, row, location)
         tenants = {t["Name"] for t in pair.settings.get("Parties") or [] if "Name" in t}
-        _known(
-            row["tenant"], tenants, location / "tenant", "unknown-tenant", "tenant", "No request would meet the route"
+        _check_known(
+            row["tenant"], tenants, location / "tenant", "unknown-tenant", "tenant", "No request would match the route"
         )
     pools = set(pair.tables.get("pools", {}))
-    _known(row["pool"], pools, location / "pool", "unknown-pool", "pool", "No sidecar starts from it")
+    _check_known(row["pool"], pools, location / "pool", "unknown-pool", "pool", "The sidecar would not start")
     if row["protocol"] == HTTP and (row["service"] or row["call"]):
         (location / "protocol").error(
-            "unreachable", "HTTP requests have no service and no call", "No request would meet the route",
-            "Leave out 'protocol', or 'service' and 'call'",
+            "unreachable", "HTTP requests have no service and no call", "No request would match the route",
+            "Remove 'protocol', or 'service' and 'call'",
         )  # fmt: skip
     if row["path"] == Pattern((b"up",), False):
         (location / "path").error(
-            "unreachable", "/up tells whether the sidecar is ready", "No request would meet the route", "Rename it"
+            "unreachable", "/up reports whether the sidecar is ready", "No request would match the route", "Rename it"
         )
 
 
 def _check_effect(row: dict[str, Any], location: Location, effects: dict[str, str]) -> None:
-    """A route must not send to a class what its method says may not be repeated."""
+    """Check that a route's methods fit its class: other methods than GET must not be in a class that is repeated."""
     effect = effects.get(row["class"])
     if effect is None or not row["method"]:
         return
@@ -234,14 +240,14 @@
             (location / "method").error(
                 "unsafe-method",
                 f"{method} requests would be of the class {row['class']!r}, which is safe to repeat",
-                "One that may have run would be sent again",
-                "Name a class that is keyed or unsafe, or the method GET",
+                "A request that may have run would be sent again",
+                "Use a class that is keyed or never repeated, or the method GET",
             )
         else:
             (location / "method").error(
                 "unreachable",
-                f"a request of the class {row['class']!r} is a {expected}, never a {method}",
-                "The route would answer all that it takes with 405",
+                f"requests of the class {row['class']!r} have the method {expected}, never {method}",
+                "All requests that match the route would be answered 405",
                 f'Write method = "{expected}"',
             )
 
@@ -249,114 +255,119 @@
 def _check_limits(pair: FilePair, row: dict[str, Any], location: Location) -> None:
     category = next(c for c in pair.categories if c.get("Name") == row["class"])
     allowed = pair.settings.get("Allowed", {})
-    site, connect = allowed.get("MaxAttempts", 3), allowed.get("ConnectTimeoutUs", 250_000)
-    own = category.get("DeadlineUs")
-    if row["deadline"] and own and row["deadline"] > own:
+    max_attempts, connect_us = allowed.get("MaxAttempts", 3), allowed.get("ConnectTimeoutUs", 250_000)
+    class_deadline_us = category.get("DeadlineUs")
+    if row["deadline"] and class_deadline_us and row["deadline"] > class_deadline_us:
         (location / "deadline").error(
             "wider-limit",
-            f"{format_duration(row['deadline'])} is longer than the class's {format_duration(own)}",
-            "It would do nothing: a route can only be tighter",
-            "Write less, or leave it out",
+            f"{format_duration(row['deadline'])} is longer than the class's {format_duration(class_deadline_us)}",
+            "It would have no effect: a route can only shorten the deadline",
+            "Write a shorter deadline, or remove the key",
         )
     if row["deadline"] and row["deadline"] <= ANSWER_MARGIN_US:
         (location / "deadline").error(
             "deadline-too-short",
-            f"{format_duration(row['deadline'])}, and answers leave {format_duration(ANSWER_MARGIN_US)} ahead",
-            "Every request would be answered 504 at once",
-            "Give it more time",
+            f"{format_duration(row['deadline'])}, and answers are due {format_duration(ANSWER_MARGIN_US)} before the "
+            "deadline",
+            "Every request would be answered 504 immediately",
+            "Write a longer deadline",
         )
-    if row["attempts"] > site:
+    if row["attempts"] > max_attempts:
         (location / "attempts").error(
             "wider-limit",
-            f"{row['attempts']} attempts, where the site allows {site}",
-            "It would do nothing: a route can only be tighter",
-            "Write fewer, or leave it out",
+            f"{row['attempts']} attempts, but the site allows {max_attempts}",
+            "It would have no effect: a route can only reduce the attempts",
+            "Write fewer attempts, or remove the key",
         )
-    if row["deadline"] and min(row["attempts"] or site, site) * connect > row["deadline"] > ANSWER_MARGIN_US:
-        tries = min(row["attempts"] or site, site)
+    if (
+        row["deadline"]
+        and min(row["attempts"] or max_attempts, max_attempts) * connect_us > row["deadline"] > ANSWER_MARGIN_US
+    ):
+        attempts = min(row["attempts"] or max_attempts, max_attempts)
         (location / ("attempts" if row["attempts"] else "deadline")).error(
             "attempts-do-not-fit",
-            f"{tries} attempts that fail to connect take {format_duration(tries * connect)}, longer than "
+            f"{attempts} attempts that fail to connect take {format_duration(attempts * connect_us)}, longer than "
             f"{format_duration(row['deadline'])}",
             "The last attempts would never be made",
-            f"Write attempts = {max(1, row['deadline'] // connect)}, or a longer deadline",
+            f"Write attempts = {max(1, row['deadline'] // connect_us)}, or a longer deadline",
         )
 
 
 def _check_classes(pair: FilePair, effects: dict[str, str]) -> None:
     if not pair.document:
         return
-    windows = {row.get("Name"): row.get("DedupWindowUs", 0) for row in pair.categories}
+    windows_us = {row.get("Name"): row.get("DedupWindowUs", 0) for row in pair.categories}
     taken: dict[str, str] = {}
     for name, row in pair.tables.get("classes", {}).items():
         location = pair.operator / "classes" / name
-        if not _known(name, set(effects), location, "unknown-class", "class", "What it says would not be done"):
+        if not _check_known(name, set(effects), location, "unknown-class", "class", "The table would have no effect"):
             continue
         effect = effects[name]
         declared = EFFECT_BY_REPEAT[row["repeat"]].value if row["repeat"] else None
         if declared and STRICTNESS[effect] < STRICTNESS[declared]:
             (location / "repeat").error(
                 "effect-declared",
-                f"{name!r} is declared {row['repeat']!r}, and the sidecar's file makes it {REPEAT_BY_EFFECT[effect]!r}",
+                f"{name!r} is declared {row['repeat']!r}, but in the sidecar's file it is {REPEAT_BY_EFFECT[effect]!r}",
                 "A request that may have run would be sent again",
-                f'Write "Effect": "{declared}" there',
+                f'Write "Effect": "{declared}" in the sidecar\'s file',
             )
         elif declared and declared != effect:
             (location / "repeat").error(
                 "effect-weakened",
-                f"{name!r} is {REPEAT_BY_EFFECT[effect]!r} in the sidecar's file, and {row['repeat']!r} here",
-                "One of them is wrong, and this one would allow repeats that the other forbids",
+                f"{name!r} is {REPEAT_BY_EFFECT[effect]!r} in the sidecar's file, but {row['repeat']!r} here",
+                "This value would allow repeated requests that the sidecar's file forbids",
                 f'Write repeat = "{REPEAT_BY_EFFECT[effect]}"',
             )
-        _check_promises(name, row, effect, windows.get(name, 0), location)
+        _check_repeats(name, row, effect, windows_us.get(name, 0), location)
         for alias in row["aliases"]:
             _check_alias(alias, name, effects, taken, location / "aliases")
 
 
-def _check_promises(name: str, row: dict[str, Any], effect: str, window: int, location: Location) -> None:
-    if row["remembered"] and effect == Effect.DEDUPLICATED.value and window > row["remembered"]:
+def _check_repeats(name: str, row: dict[str, Any], effect: str, window_us: int, location: Location) -> None:
+    if row["remembered"] and effect == Effect.DEDUPLICATED.value and window_us > row["remembered"]:
         (location / "remembered").error(
             "window",
-            f"a key is resent for {format_duration(window)}, and endpoints drop it for "
+            f"a key is sent again for {format_duration(window_us)}, but endpoints drop it for only "
             f"{format_duration(row['remembered'])}",
-            "A repeat after that would run a second time",
+            "A later repeat would run a second time",
             f'Write "DedupWindowUs": {row["remembered"]} or less in the sidecar\'s file',
         )
     if row["retries"] and effect == Effect.AT_MOST_ONCE.value:
         (location / "retries").error(
             "unsafe-retry",
-            f"retries are switched on for {name!r}, which must never run twice",
-            "What may have run would be sent again, if it were done",
-            "Leave the key out: what surely never ran is tried again all the same",
+            f"retries are enabled for {name!r}, which must never run twice",
+            "If it were obeyed, requests that may have run would be sent again",
+            "Remove the key: requests that certainly never ran are retried without it",
         )
     if row["second_copies"] and effect != Effect.IDEMPOTENT.value:
         (location / "second_copies").error(
             "unsafe-retry",
-            f"second copies are switched on for {name!r}, which is not safe to repeat",
-            "Two copies would run at the same time, if it were done",
-            "Leave the key out, or write false",
+            f"hedging is enabled for {name!r}, which is not safe to repeat",
+            "If it were obeyed, a request would run twice at the same time",
+            "Remove the key, or write false",
         )
 
 
 def _check_alias(alias: str, name: str, effects: dict[str, str], taken: dict[str, str], location: Location) -> None:
-    real = {fold_name(known): known for known in effects}
-    other = real.get(fold_name(alias))
+    names_by_fold = {fold_name(known): known for known in effects}
+    similar = names_by_fold.get(fold_name(alias))
     if alias in taken or alias in effects:
         location.error(
             "alias",
             f"{alias!r} means {taken.get(alias, alias)!r} already",
-            "The other one takes its requests",
-            "Give each name to one class",
+            "The other class would get its requests",
+            "Use each name for one class only",
         )
-    weaker = STRICTNESS[effects[name]]
+    strictness = STRICTNESS[effects[name]]
     known = declared_classes().get(fold_name(alias), DeclaredClass(Effect.IDEMPOTENT))
-    strict = max(STRICTNESS[known.effect.value], STRICTNESS[effects[other]] if other else 0)
-    if strict > weaker:
+    required = max(STRICTNESS[known.effect.value], STRICTNESS[effects[similar]] if similar else 0)
+    if required > strictness:
         location.error(
             "disguise",
-            f"{alias!r} stands for {other or fold_name(alias)!r}, and {name!r} is a class that is repeated more freely",
+            f"{alias!r} looks like {similar or fold_name(alias)!r}, but {name!r} is a class that is repeated more "
+            "freely",
             "A request that must not be repeated would be sent again",
-            f"Make it an alias of {other or fold_name(alias)!r}, or leave it out",
+            f"Make it an alias of {similar or fold_name(alias)!r}, or remove it",
         )
     taken[alias] = name
 
@@ -366,108 +377,121 @@
     for name, row in pair.tables.get("pools", {}).items():
         location = pair.operator / "pools" / name
         if not (row["zones"] or row["kinds"] or row["labels"]):
-            location.error("empty-pool", "the pool asks nothing", "It would hold every endpoint", "Name zones or kinds")
+            location.error(
+                "empty-pool", "the pool restricts nothing", "It would contain every endpoint", "Name zones or kinds"
+            )
         for key, known in (("zones", zones), ("kinds", kinds)):
-            for found in row[key] or ():
-                if known and found not in known:
+            for value in row[key] or ():
+                if known and value not in known:
                     (location / key).error(
                         "empty-pool",
-                        f"there is no {key[:-1]} {found!r}",
-                        "No endpoint would be in the pool",
-                        did_you_mean(found, known),
+                        f"there is no {key[:-1]} {value!r}",
+                        "The pool would contain no endpoint for it",
+                        did_you_mean(value, known),
                     )
 
 
-def _check_between(pair: FilePair, rows: list[dict[str, Any]], spots: list[Location], effects: dict[str, str]) -> None:
+def _check_all_routes(
+    pair: FilePair, rows: list[dict[str, Any]], locations: list[Location], effects: dict[str, str]
+) -> None:
     routes = [route_of(row) for row in rows]
     for conflict in find_conflicts(routes):
-        _tell_conflict(routes, spots, conflict.first, conflict.second, conflict.kind, conflict.example)
+        _report_conflict(routes, locations, conflict.first, conflict.second, conflict.kind, conflict.example)
     if pair.document:
         methods = {name: frozenset((METHOD[Effect(effect)],)) for name, effect in effects.items()}
         tenants = frozenset(t["Name"] for t in pair.settings.get("Parties") or [] if "Name" in t)
-        told = {finding.key.partition(".")[0] for finding in pair.operator.report.errors}
+        reported = {finding.key.partition(".")[0] for finding in pair.operator.report.errors}
         for i in unreachable(routes, methods, tenants):
-            if str(spots[i]) not in told:
-                spots[i].error(
-                    "unreachable", "no request can meet the route", "It would do nothing", "Leave it out, or mend it"
+            if str(locations[i]) not in reported:
+                locations[i].error(
+                    "unreachable", "no request can match the route", "It would have no effect", "Remove or correct it"
                 )
-        _check_disguises(pair, routes, spots, effects)
+        _check_disguises(pair, routes, locations, effects)
     try:
         RouteTable(routes)
     except TableError as error:
         if not any(f.code in ("same-match", "duplicate-route") for f in pair.operator.report.errors):
-            (pair.operator / "routes").error("table", str(error), "No sidecar starts from it", "Merge some routes")
+            (pair.operator / "routes").error("table", str(error), "The sidecar would not start", "Use fewer routes")
 
 
-def _tell_conflict(routes: list[Route], spots: list[Location], i: int, j: int, kind: str, example: str) -> None:
+def _report_conflict(routes: list[Route], locations: list[Location], i: int, j: int, kind: str, example: str) -> None:
     one, two = routes[i].name, routes[j].name
-    line = spots[i].report.line(spots[i].path)
+    line = locations[i].report.line(locations[i].path)
     if kind == "twice":
-        spots[j].error(
-            "duplicate-route", f"asks the same as {one!r} (line {line})", "No sidecar starts from it", "Leave one out"
+        locations[j].error(
+            "duplicate-route",
+            f"matches the same requests as {one!r} (line {line})",
+            "The sidecar would not start",
+            "Remove one of them",
         )
     elif kind == "same":
-        spots[j].error(
+        locations[j].error(
             "same-match",
-            f"asks the same as {one!r} (line {line}) and does something else with {example}",
-            "Which of them counts would be chance",
-            "Leave one out, or let them ask something different",
+            f"matches the same requests as {one!r} (line {line}), but has another outcome for {example}",
+            "Which of them is used would be arbitrary",
+            "Remove one of them, or change what they match",
         )
     else:
-        spots[j].error(
+        locations[j].error(
             "no-most-specific",
-            f"{two!r} and {one!r} (line {line}) both take {example}, neither is the more specific, and they do "
-            "different things",
-            "Which of them counts would be decided by spelling",
-            "Add a third route for just what both take, or let them do the same",
+            f"{two!r} and {one!r} (line {line}) both match {example}, neither is more specific, and their outcomes "
+            "differ",
+            "Which of them is used would depend on the spelling of their conditions",
+            "Add a third route for exactly the requests that both match, or give both the same outcome",
         )
 
 
-def _check_disguises(pair: FilePair, routes: list[Route], spots: list[Location], effects: dict[str, str]) -> None:
-    """Rule 2: no route may carry off what the first part of a path names as a stricter class."""
+def _check_disguises(pair: FilePair, routes: list[Route], locations: list[Location], effects: dict[str, str]) -> None:
+    """Check that no route gives a less strict class to paths whose first segment names a stricter one.
+
+    Otherwise a request that must not run twice could be sent again.
+    """
     names: dict[str, str] = dict(effects)
     for name, row in pair.tables.get("classes", {}).items():
         if name in effects:
             names.update((alias, effects[name]) for alias in row["aliases"])
-    folded: dict[str, int] = {fold_name(name): STRICTNESS[effect] for name, effect in names.items()}
+    strictness_by_fold: dict[str, int] = {fold_name(name): STRICTNESS[effect] for name, effect in names.items()}
     for name, known in declared_classes().items():
-        folded[name] = max(folded.get(name, 0), STRICTNESS[known.effect.value])
+        strictness_by_fold[name] = max(strictness_by_fold.get(name, 0), STRICTNESS[known.effect.value])
     guards = _guards(routes, effects)
-    for route, location in zip(routes, spots, strict=True):
+    for route, location in zip(routes, locations, strict=True):
         if route.class_name not in effects:
             continue
-        for name, strict in sorted(folded.items()):
-            if strict <= STRICTNESS[effects[route.class_name]] or not _carries_off(route, name, names, guards, strict):
+        for name, required in sorted(strictness_by_fold.items()):
+            if required <= STRICTNESS[effects[route.class_name]] or not _diverts(route, name, names, guards, required):
                 continue
             (location / "path").error(
                 "disguise",
-                f"it takes paths below /{_spelt(name, names)} to {route.class_name!r}, which is repeated more freely",
+                f"it gives paths below /{_spelling_of(name, names)} the class {route.class_name!r}, which is repeated "
+                "more freely",
                 "A request that must not be repeated would be sent again",
-                f"Name its class, or add a route for /{_spelt(name, names)}/* that does",
+                f"Use the class of that name, or add a route for /{_spelling_of(name, names)}/* that does",
             )
 
 
-def _spelt(name: str, names: dict[str, str]) -> str:
-    return next((spelling for spelling in sorted(names) if fold_name(spelling) == name), name)
+def _spelling_of(folded_name: str, names: dict[str, str]) -> str:
+    """Return a name as configured for its folded form, or the folded form if there is none."""
+    return next((spelling for spelling in sorted(names) if fold_name(spelling) == folded_name), folded_name)
 
 
 def _guards(routes: list[Route], effects: dict[str, str]) -> dict[bytes, int]:
-    """First parts whose every path some unconditional route takes already, and how strict its class is."""
-    found: dict[bytes, int] = {}
+    """Return the first segments that an unconditional prefix route covers, with the strictness of its class."""
+    guards: dict[bytes, int] = {}
     for route in routes:
-        parts = route.pattern.segments
-        if len(parts) == 1 and route.pattern.is_prefix and not route.conditions() and not route.methods:
+        segments = route.pattern.segments
+        if len(segments) == 1 and route.pattern.is_prefix and not route.conditions() and not route.methods:
             if route.class_name in effects:
-                found[parts[0]] = STRICTNESS[effects[route.class_name]]
-    return found
+                guards[segments[0]] = STRICTNESS[effects[route.class_name]]
+    return guards
 
 
-def _carries_off(route: Route, name: str, names: dict[str, str], guards: dict[bytes, int], strict: int) -> bool:
+def _diverts(route: Route, name: str, names: dict[str, str], guards: dict[bytes, int], required: int) -> bool:
+    """Whether the route matches paths whose first segment folds to `name` and that no strict enough guard covers."""
     if route.service or route.call:
         return False
-    parts = route.pattern.segments
-    if parts and parts[0] != ANY_SEGMENT:
-        return fold_name(parts[0].decode("ascii")) == name
-    # A template or prefix over everything: it is the guard that comes first, where there is one.
-    spelling = _spelt(name, names).lower().encode()
-    return guards.get(spelling, -1) < strict and intersect(route.pattern, Pattern((spelling,), True)) is not None
+    segments = route.pattern.segments
+    if segments and segments[0] != ANY_SEGMENT:
+        return fold_name(segments[0].decode("ascii")) == name
+    # The route begins with a template or matches all paths, so a guard takes precedence over it.
+    spelling = _spelling_of(name, names).lower().encode()
+    return guards.get(spelling, -1) < required and intersect(route.pattern, Pattern((spelling,), True)) is not None
--- a/eiderhub/routing/plan_compiler.py
+++ b/eiderhub/routing/plan_compiler.py
@@ -1,7 +1,8 @@
-"""From routes and pools to a plan: classes, and a narrower form of each for what the routes narrow.
+"""Compiles routes and pools into a plan.
 
-A route's pool and limits become a variant of its class, so that the module, and nothing else, keeps them: it draws
-endpoints from the pool, counts attempts and learns the pool's cap like those of any class bound to endpoints.
+A route's pool and limits become a variant of its class, so that only the decision module has to enforce them: it
+selects endpoints from the pool, counts attempts and learns the pool's concurrency limit as for any class that is
+restricted to some endpoints.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolRule:
-    """Which endpoints belong to a pool; None or empty asks nothing."""
+    """Which endpoints belong to a pool; None or empty does not restrict them."""
 
     name: str
     zones: frozenset[str] | None = None
@@ -25,7 +26,8 @@
     labels: frozenset[str] = frozenset()
 
 
-def _narrowed(own: frozenset[str] | None, pool: frozenset[str] | None) -> frozenset[str] | None:
+def _intersection(own: frozenset[str] | None, pool: frozenset[str] | None) -> frozenset[str] | None:
+    """Return the values that both allow; None allows all."""
     if own is None or pool is None:
         return pool if own is None else own
     return own & pool
@@ -33,45 +35,48 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassRule:
-    """What an operator narrows for a whole class."""
+    """What an operator allows for a whole class."""
 
     retries: bool = True
-    copies: bool = True
+    hedging: bool = True
 
 
-FREE = ClassRule()
+UNRESTRICTED = ClassRule()
 
 
 def variant(
-    request_class: RequestClass, route: Route | None, pool: PoolRule | None, rule: ClassRule = FREE
+    request_class: RequestClass, route: Route | None, pool: PoolRule | None, rule: ClassRule = UNRESTRICTED
 ) -> RequestClass:
-    """The class as a rule and a route narrow it, under a name that tells all of it: equal names, equal variants."""
-    parts = []
+    """Return the class as restricted by a route, a pool and a rule; the class itself if nothing restricts it.
+
+    The variant's name contains all restrictions, so that variants with equal names are equal.
+    """
+    restrictions = []
     changes: dict[str, object] = {}
     if pool is not None:
         zones, kinds = (
-            _narrowed(request_class.allowed_zones, pool.zones),
-            _narrowed(request_class.allowed_machine_kinds, pool.kinds),
+            _intersection(request_class.allowed_zones, pool.zones),
+            _intersection(request_class.allowed_machine_kinds, pool.kinds),
         )
         labels = request_class.labels | pool.labels
         changes |= {"allowed_zones": zones, "allowed_machine_kinds": kinds, "labels": labels}
         for key, names in (("zones", zones), ("kinds", kinds), ("labels", labels or None)):
             if names is not None:
-                parts.append(f"{key}={','.join(sorted(names))}")
+                restrictions.append(f"{key}={','.join(sorted(names))}")
     if route is not None and 0 < route.deadline_us < request_class.deadline_us:
         changes["deadline_us"] = route.deadline_us
         changes["objective_us"] = min(request_class.objective_us, route.deadline_us)
-        parts.append(f"deadline={route.deadline_us}us")
+        restrictions.append(f"deadline={route.deadline_us}us")
     attempts = (route.attempts if route is not None else 0) if rule.retries else 1
     if attempts:
         changes["max_attempts"] = attempts
-        parts.append(f"attempts={attempts}")
-    if not rule.copies and request_class.may_hedge:
+        restrictions.append(f"attempts={attempts}")
+    if not rule.hedging and request_class.may_hedge:
         changes["may_hedge"] = False
-        parts.append("copies=no")
-    if not parts:
+        restrictions.append("copies=no")
+    if not restrictions:
         return request_class
-    name = f"{request_class.name}[{' '.join(parts)}]"
+    name = f"{request_class.name}[{' '.join(restrictions)}]"
     return dataclasses.replace(request_class, name=name, variant_of=request_class.name, **changes)  # type: ignore[arg-type]
 
 
@@ -83,18 +88,23 @@
     aliases: Mapping[str, str] | None = None,
     rules: Mapping[str, ClassRule] | None = None,
 ) -> Plan:
-    """Compile routes. Raises KeyError for a class or pool that is not there and `TableError` for no table."""
+    """Compile routes into a plan; aliases map further first segments to class names.
+
+    Raises KeyError for an unknown class or pool, and `TableError`.
+    """
     rules = rules or {}
     classes = {c.name: c for c in settings.classes}
-    by_default = {name: variant(c, None, None, rules.get(name, FREE)) for name, c in classes.items()}
+    default_classes = {name: variant(c, None, None, rules.get(name, UNRESTRICTED)) for name, c in classes.items()}
     grades = {
-        r.name: variant(classes[r.class_name], r, pools[r.pool] if r.pool else None, rules.get(r.class_name, FREE))
+        r.name: variant(
+            classes[r.class_name], r, pools[r.pool] if r.pool else None, rules.get(r.class_name, UNRESTRICTED)
+        )
         for r in routes
     }
-    first_part = {name.encode(): c for name, c in by_default.items()}
+    first_part = {name.encode(): c for name, c in default_classes.items()}
     for alias, name in (aliases or {}).items():
-        first_part.setdefault(alias.encode(), by_default[name])
-    variants = {c.name: c for c in (*by_default.values(), *grades.values()) if c.variant_of}
+        first_part.setdefault(alias.encode(), default_classes[name])
+    variants = {c.name: c for c in (*default_classes.values(), *grades.values()) if c.variant_of}
     return Plan(
         dataclasses.replace(settings, classes=(*settings.classes, *variants.values())),
         default,
--- a/tests/config/test_tool.py
+++ b/tests/config/test_tool.py
@@ -151,7 +151,7 @@
     for name in OWNERS:
         assert f"[{name}" in told
         assert name in owner(name).TABLES
-    assert "deadline       its time, where that is shorter than the class's" in told
+    assert "deadline       its deadline, if it is shorter than the class's" in told
 
 
 def test_files_that_belong_together() -> None:
