--- a/tests/config/test_corpus.py
+++ b/tests/config/test_corpus.py
@@ -1,4 +1,4 @@
-"""The prepared files: each bad one gives its finding and starts nothing, each good one starts and serves."""
+"""The corpus of files: each bad file gives its finding and prevents a start; with each good one the program serves."""
 
 from __future__ import annotations
 
@@ -23,14 +23,17 @@
 GOOD = sorted((CORPUS / "good").iterdir())
 
 
-def pair(path: Path) -> tuple[Path | None, Path | None]:
-    """A file with its partner: the one of the same name, or else the base file for an operator's file."""
+def file_pair(path: Path) -> tuple[Path | None, Path | None]:
+    """Return a sidecar's file and an operator's file: the given one and its partner.
+
+    The partner has the same name; without one, an operator's file is paired with the base file.
+    """
     if path.suffix == ".json":
         partner = path.with_suffix(".toml")
         return path, partner if partner.exists() else None
-    own = path.with_suffix(".json")
-    if own.exists():
-        return own, path
+    sidecar = path.with_suffix(".json")
+    if sidecar.exists():
+        return sidecar, path
     try:
         document = parse_toml(path.read_text(encoding="utf-8"), Report(""))
     except UnicodeDecodeError:
@@ -38,33 +41,33 @@
     return (None if document and is_description(document) else BASE), path
 
 
-def test_there_are_enough_of_them() -> None:
+def test_the_corpus_is_not_truncated() -> None:
     assert len(BAD) >= 60
     assert len(GOOD) >= 30
 
 
 @pytest.mark.parametrize("path", BAD, ids=lambda path: path.name)
 def test_a_bad_file_gives_its_finding(path: Path) -> None:
-    """The name of the file tells the finding. All its words stand: where, what, what follows, what to do."""
+    """The file's name begins with the code of its finding, which has a location and all texts."""
     code = path.name.partition("--")[0]
-    result = check([str(file) for file in pair(path) if file is not None])
-    found = [finding for finding in result.findings if finding.code == code]
+    result = check([str(file) for file in file_pair(path) if file is not None])
+    matching = [finding for finding in result.findings if finding.code == code]
     assert result.status == 1
-    assert found, result.findings
-    assert found[0].file.startswith(str(path.with_suffix("")))
-    assert found[0].what and found[0].follows and found[0].do
+    assert matching, result.findings
+    assert matching[0].file.startswith(str(path.with_suffix("")))
+    assert matching[0].what and matching[0].follows and matching[0].do
     if path.suffix == ".toml" and code not in ("encoding", "nesting"):
-        assert found[0].line > 0
+        assert matching[0].line > 0
 
 
-@pytest.mark.parametrize("path", [path for path in BAD if pair(path)[0]], ids=lambda path: path.name)
+@pytest.mark.parametrize("path", [path for path in BAD if file_pair(path)[0]], ids=lambda path: path.name)
 def test_no_sidecar_starts_or_reloads_from_a_bad_file(path: Path) -> None:
-    own, theirs = pair(path)
+    sidecar, operator = file_pair(path)
     with pytest.raises(ConfigError):
-        checked({"GW_CONFIG": str(own)}, str(theirs) if theirs else None)
+        checked({"GW_CONFIG": str(sidecar)}, str(operator) if operator else None)
 
 
-@pytest.mark.parametrize("path", [path for path in BAD if not pair(path)[0]], ids=lambda path: path.name)
+@pytest.mark.parametrize("path", [path for path in BAD if not file_pair(path)[0]], ids=lambda path: path.name)
 def test_nothing_is_written_from_a_bad_description(path: Path, tmp_path: Path) -> None:
     assert not write(str(path), str(tmp_path)).sound
     assert list(tmp_path.iterdir()) == []
@@ -72,15 +75,15 @@
 
 @pytest.mark.parametrize("path", GOOD, ids=lambda path: path.name)
 def test_a_good_file_has_no_errors(path: Path) -> None:
-    result = check([str(file) for file in pair(path) if file is not None])
+    result = check([str(file) for file in file_pair(path) if file is not None])
     assert result.status == 0
     assert not any(finding.severity is Severity.ERROR for finding in result.findings)
 
 
 @pytest.mark.parametrize("path", GOOD, ids=lambda path: path.name)
-def test_a_good_file_starts_the_program_and_serves(path: Path) -> None:
-    own, theirs = pair(path)
-    assert own is not None
-    document = json.loads(own.read_text(encoding="utf-8"))
-    operator = theirs.read_text(encoding="utf-8") if theirs else None
-    assert asyncio.run(serve_through(document, operator)) > 0
+def test_the_program_serves_with_a_good_file(path: Path) -> None:
+    sidecar, operator = file_pair(path)
+    assert sidecar is not None
+    document = json.loads(sidecar.read_text(encoding="utf-8"))
+    operator_text = operator.read_text(encoding="utf-8") if operator else None
+    assert asyncio.run(serve_through(document, operator_text)) > 0
--- a/tests/routing/test_target.py
+++ b/tests/routing/test_request_target.py
@@ -1,4 +1,4 @@
-"""Request targets: one normal form, or a refusal."""
+"""Request targets: each path has one normal form or is rejected."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         (b"/a;v=1/b", (b"a;v=1", b"b")),
     ],
 )
-def test_one_normal_form(path: bytes, segments: tuple[bytes, ...]) -> None:
+def test_the_normal_form_of_a_path(path: bytes, segments: tuple[bytes, ...]) -> None:
     assert segments_of(path) == segments
 
 
@@ -41,7 +41,7 @@
         b"/look/a#b", b"/look/\xc3\xb1", b"/look/%00", b"/look/a b", b"/" + b"a/" * 65,
     ],
 )  # fmt: skip
-def test_what_can_be_read_in_two_ways_is_refused(path: bytes) -> None:
+def test_ambiguous_and_invalid_paths_are_rejected(path: bytes) -> None:
     with pytest.raises(InvalidTargetError):
         segments_of(path)
 
@@ -50,8 +50,8 @@
 
 
 @given(st.lists(st.sampled_from(PIECES), max_size=9))
-def test_an_accepted_path_is_what_a_decoding_server_resolves_to(pieces: list[bytes]) -> None:
-    """A server that decodes, even twice, and then resolves dot segments ends at the same parts."""
+def test_a_decoding_server_resolves_an_accepted_path_to_the_same_segments(pieces: list[bytes]) -> None:
+    """A server that decodes once or twice and then resolves dot segments must not reach another path."""
     path = b"/" + b"".join(pieces)
     try:
         segments = segments_of(path)
@@ -59,5 +59,9 @@
         return
     for decoded in (unquote_to_bytes(path), unquote_to_bytes(unquote_to_bytes(path))):
         resolved = posixpath.normpath(decoded).strip(b"/")
-        assert resolved.split(b"/") == [unquote_to_bytes(part) for part in segments] or not segments or b"%" in resolved
+        assert (
+            resolved.split(b"/") == [unquote_to_bytes(segment) for segment in segments]
+            or not segments
+            or b"%" in resolved
+        )
         assert resolved.count(b"/") == max(len(segments) - 1, 0)
