--- a/eiderhub/routing/conflicts.py
+++ b/eiderhub/routing/conflicts.py
@@ -106,6 +106,10 @@
 def _compare(
     a: Route, b: Route, own: list[RequestSet], others: list[RequestSet], known: set[RequestSet]
 ) -> tuple[str, str]:
+    """Return the kind of the conflict of two routes and an example path, or empty strings.
+
+    `own` and `others` are the request sets of `a` and `b`, and `known` are those of all routes.
+    """
     if _are_disjoint(a, b) or _are_disjoint(b, a):
         return "", ""
     outcomes_differ = a.outcome() != b.outcome()
--- a/eiderhub/routing/options.py
+++ b/eiderhub/routing/options.py
@@ -228,7 +228,7 @@
 
 
 def _check_effect(row: dict[str, Any], location: Location, effects: dict[str, str]) -> None:
-    """Check that a route's methods fit its class: other methods than GET must not be in a class that is repeated."""
+    """Check that a route's methods fit its class: a class that is safe to repeat must contain only GET requests."""
     effect = effects.get(row["class"])
     if effect is None or not row["method"]:
         return
--- a/eiderhub/routing/plan_compiler.py
+++ b/eiderhub/routing/plan_compiler.py
@@ -95,22 +95,22 @@
     rules = rules or {}
     classes = {c.name: c for c in settings.classes}
     default_classes = {name: variant(c, None, None, rules.get(name, UNRESTRICTED)) for name, c in classes.items()}
-    grades = {
+    classes_by_route = {
         r.name: variant(
             classes[r.class_name], r, pools[r.pool] if r.pool else None, rules.get(r.class_name, UNRESTRICTED)
         )
         for r in routes
     }
-    first_part = {name.encode(): c for name, c in default_classes.items()}
+    classes_by_first_segment = {name.encode(): c for name, c in default_classes.items()}
     for alias, name in (aliases or {}).items():
-        first_part.setdefault(alias.encode(), default_classes[name])
-    variants = {c.name: c for c in (*default_classes.values(), *grades.values()) if c.variant_of}
+        classes_by_first_segment.setdefault(alias.encode(), default_classes[name])
+    variants = {c.name: c for c in (*default_classes.values(), *classes_by_route.values()) if c.variant_of}
     return Plan(
         dataclasses.replace(settings, classes=(*settings.classes, *variants.values())),
         default,
         RouteTable(routes) if routes else None,
-        grades,
-        first_part,
+        classes_by_route,
+        classes_by_first_segment,
         frozenset(name.encode() for route in routes for name, _ in route.headers),
         {c.name: c.deadline_us for c in variants.values() if c.deadline_us < classes[c.variant_of].deadline_us},
     )
--- a/eiderhub/schema/declared_classes.py
+++ b/eiderhub/schema/declared_classes.py
@@ -1,8 +1,8 @@
 """Declared request classes: what repeating a request of a class does, regardless of the configuration files.
 
-The declarations are in a file of the organization that runs the sidecars, which an environment variable names. Every
-configuration file is checked against them. The operator's file (`[classes.NAME]`) may declare further classes and
-stricter effects, but no weaker ones.
+The declarations are in a file of the organization that runs the sidecars, which an environment variable names; the
+program itself contains none. Every configuration file is checked against them. The operator's file (`[classes.NAME]`)
+may declare further classes and stricter effects, but no weaker ones.
 """
 
 from __future__ import annotations
--- a/eiderhub/schema/files.py
+++ b/eiderhub/schema/files.py
@@ -45,7 +45,7 @@
         before = os.fstat(fd)
         if not stat.S_ISREG(before.st_mode):
             raise UnreadableFileError(
-                f"{path}: {'is a folder' if stat.S_ISDIR(before.st_mode) else 'not a regular file'}"
+                f"{path}: {'is a folder' if stat.S_ISDIR(before.st_mode) else 'is not a regular file'}"
             )
         if before.st_size > MAX_FILE_BYTES:
             raise UnreadableFileError(f"{path}: {before.st_size} bytes; at most {MAX_FILE_BYTES} are allowed")
--- a/eiderhub/schema/findings.py
+++ b/eiderhub/schema/findings.py
@@ -34,6 +34,7 @@
         return (self.file, self.line, self.key, self.code, self.what)
 
     def as_dict(self) -> dict[str, str | int]:
+        """Return the finding as it is written in the JSON output."""
         return {**asdict(self), "severity": self.severity.value}
 
     def __str__(self) -> str:
@@ -67,6 +68,7 @@
         return 0
 
     def add(self, severity: Severity, path: KeyPath, code: str, what: str, follows: str, do: str) -> None:
+        """Add a finding at a key, unless the file has `MAX_FINDINGS` already."""
         if len(self.findings) < MAX_FINDINGS:
             self.findings.append(
                 Finding(self.file, self.line(path), format_key(path), code, severity, what, follows, do)
@@ -79,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Location:
-    """A key of one file, to which findings can be added."""
+    """A key of one file, to which findings can be added; `/` gives the location of a key or item inside it."""
 
     report: Report
     path: KeyPath = ()
@@ -88,9 +90,11 @@
         return Location(self.report, (*self.path, step))
 
     def error(self, code: str, what: str, follows: str, do: str) -> None:
+        """Add an error: what is wrong, its consequence and the remedy, each without a final period."""
         self.report.add(Severity.ERROR, self.path, code, what, follows, do)
 
     def warn(self, code: str, what: str, follows: str, do: str) -> None:
+        """Add a warning; see `error`."""
         self.report.add(Severity.WARNING, self.path, code, what, follows, do)
 
     def __str__(self) -> str:
--- a/eiderhub/schema/value_types.py
+++ b/eiderhub/schema/value_types.py
@@ -20,7 +20,7 @@
 INVALID: Final = object()  # returned for an invalid value, after a finding was added
 REQUIRED: Final = object()  # the default of keys that must be present
 HOUR_US = 3_600_000_000  # upper bound of most durations: no caller waits longer
-NAME = r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}"
+NAME_PATTERN = r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}"
 
 
 class ValueType(Protocol):
@@ -44,7 +44,7 @@
     return INVALID
 
 
-# Minimum `difflib` similarity: to suggest a known name, and to treat an unknown key as a misspelling of a known one.
+# Minimum similarity (the ratio of `difflib`) to suggest a known name, and to treat an unknown key as a misspelling.
 POSSIBLE_MATCH, LIKELY_MATCH = 0.6, 0.8
 
 
@@ -77,7 +77,7 @@
         return report_invalid(location, value, self.description)
 
 
-NAME_TEXT = Text(NAME, "a name of letters, digits, '.', '_' and '-'")
+NAME_TEXT = Text(NAME_PATTERN, "a name of letters, digits, '.', '_' and '-'")
 
 
 @dataclass(frozen=True)
@@ -266,7 +266,7 @@
     """A table with keys chosen by the user and values of one type; invalid entries are left out, with findings."""
 
     value_type: ValueType
-    name: str = NAME  # regular expression of a key
+    name: str = NAME_PATTERN  # regular expression of a key
     max_items: int = 1000
 
     @property
--- a/tests/config/test_files.py
+++ b/tests/config/test_files.py
@@ -20,7 +20,7 @@
 
 def test_a_pipe_is_rejected_without_blocking(tmp_path: Path) -> None:
     os.mkfifo(tmp_path / "x.json")
-    with pytest.raises(UnreadableFileError, match="not a regular file"):
+    with pytest.raises(UnreadableFileError, match="is not a regular file"):
         read_bytes(str(tmp_path / "x.json"))
 
 
