--- a/eiderhub/schema/value_types.py
+++ b/eiderhub/schema/value_types.py
@@ -266,7 +266,7 @@
     """A table with keys chosen by the user and values of one type; invalid entries are left out, with findings."""
 
     value_type: ValueType
-    name: str = NAME_PATTERN  # regular expression of a key
+    key_pattern: str = NAME_PATTERN
     max_items: int = 1000
 
     @property
@@ -278,8 +278,8 @@
             return report_invalid(location, value, f"a table with at most {self.max_items} entries")
         entries = {}
         for name, item in value.items():
-            if not re.fullmatch(self.name, name):
-                report_invalid(location / name, name, f"a name that matches {self.name}", "name")
+            if not re.fullmatch(self.key_pattern, name):
+                report_invalid(location / name, name, f"a name that matches {self.key_pattern}", "name")
                 continue
             read = self.value_type.read(item, location / name)
             if read is not INVALID:
@@ -293,8 +293,8 @@
 
     name: str
     value_type: ValueType
-    help: str
-    default: Any = REQUIRED
+    help: str  # for the list of keys, and for the remedy if the key is missing
+    default: Any = REQUIRED  # the converted value if the key is missing
 
 
 @dataclass(frozen=True)
