--- a/tests/config/test_tool.py
+++ b/tests/config/test_tool.py
@@ -160,7 +160,7 @@
     for name in TABLE_MODULES:
         assert f"[{name}" in output
         assert name in table_owner(name).TABLES
-    assert "deadline       its time, where that is shorter than the class's" in output
+    assert "deadline       its deadline, if it is shorter than the class's" in output
 
 
 def test_files_of_one_sidecar_are_grouped() -> None:
