--- a/eiderhub/protocols/__init__.py
+++ b/eiderhub/protocols/__init__.py
@@ -1,1 +1,1 @@
-"""Protocols at the edges: each brings a server side, a client side and a codec without I/O."""
+"""Protocols of callers and endpoints. Each has a server side, a client side and, where needed, a codec without I/O."""
--- a/eiderhub/protocols/http1/__init__.py
+++ b/eiderhub/protocols/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 as the platform speaks it: the protocol that every sidecar serves."""
+"""HTTP/1.1, the protocol that every sidecar serves."""
--- a/eiderhub/protocols/http1/client.py
+++ b/eiderhub/protocols/http1/client.py
@@ -1,4 +1,4 @@
-"""The client side of HTTP/1.1: one exchange at a time on a connection, and what its answer is worth."""
+"""Client side of HTTP/1.1: connections that carry one exchange at a time, and the outcomes of responses."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
 from eiderhub.sidecar.protocol_interface import ConnectionOwner, EndpointConnection
 from eiderhub.sidecar.resource_limits import ByteBudget
 
-MAX_BODY = 64 * 1024  # bytes: more than the protocol allows is no answer
-MAX_HEAD = 16 * 1024  # bytes of a head, with all interim answers before it
-# Some endpoints answer twice, some milliseconds apart: written to sooner, a request would get the copy for its answer.
+MAX_BODY_BYTES = 64 * 1024  # the protocol allows no longer response
+MAX_HEADER_BYTES = 16 * 1024  # of a header section, including all interim responses before it
+# Some endpoints send a response twice, some milliseconds apart. A request written to the connection before the
+# duplicate has arrived would take it for its own response.
 REUSE_DELAY_US = 10_000
 
-# Headers that belong to one connection, and not to the message: RFC 9110, 7.6.1.
+# Headers that apply to one connection and are not forwarded: RFC 9110, section 7.6.1.
 HOP_BY_HOP = frozenset(
     (
         b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding",
@@ -27,14 +28,14 @@
 
 
 class Response(NamedTuple):
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
     body: bytes
 
     def load(self) -> LoadReport | None:
-        """What the endpoint says of its load, where the answer carries a report that can be read."""
+        """Return the load report in the `Srv-Load` header, or None if it is missing or can't be parsed."""
         for name, value in self.headers:
             if name.lower() == b"srv-load":
                 return parse_load_report(value.decode("latin-1"), "=")
@@ -42,18 +43,18 @@
 
 
 class Connection(EndpointConnection):
-    """One HTTP/1.1 connection that we opened; it carries one exchange at a time.
+    """HTTP/1.1 connection to an endpoint. It carries one exchange at a time.
 
-    What comes from an endpoint is believed only as far as it is one whole answer with one stated length. All
-    else ends the exchange at once, and the connection with it: nobody can tell what its next bytes belong to.
+    Only one complete response with one stated length is accepted. Anything else ends the exchange and closes the
+    connection at once, because it is unknown which message the following bytes belong to.
     """
 
     reuse_delay_us = REUSE_DELAY_US
 
-    def __init__(self, owner: ConnectionOwner, budget: ByteBudget, max_body: int = MAX_BODY) -> None:
+    def __init__(self, owner: ConnectionOwner, budget: ByteBudget, max_body_bytes: int = MAX_BODY_BYTES) -> None:
         super().__init__(owner)
         self.budget = budget
-        self.max_body = max_body
+        self.max_body_bytes = max_body_bytes
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self._body = bytearray()
         self._reset()
@@ -62,48 +63,48 @@
         self._headers: list[tuple[bytes, bytes]] = []
         self.budget.release(len(self._body))
         self._body = bytearray()
-        self._in_head = True
-        self._head_size = 0
-        self._keep = False
+        self._in_header_section = True
+        self._header_bytes = 0
+        self._keep_alive = False
         self._response: Response | None = None
         self.partial_read_us = 0
 
     def release_resources(self) -> None:
-        self._parser = None  # it holds this connection in turn: a cycle, which is rarely collected
+        self._parser = None  # breaks the reference cycle with the parser, which would rarely be collected
         self._reset()
 
     def outcome(self, reply: Response) -> Outcome:
         return classify(reply)
 
-    # --- what comes ---
+    # --- receiving ---
 
     def data_received(self, data: bytes) -> None:
         if self.closed or self._parser is None:
             return
-        if not self.busy:  # nobody asked
+        if not self.busy:  # unsolicited data
             self.fail()
             return
-        in_head = self._in_head
+        in_header_section = self._in_header_section
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            # Behind a whole answer there may be more than belongs to it, a second copy or noise: the answer
-            # stands, for its one stated length has come, and the connection is of no further use.
+            # A complete response may be followed by other bytes, such as a duplicate of it. The response is valid,
+            # since its stated length has arrived, but the connection can't be reused.
             if self._response is None:
                 self.fail()
                 return
-            self._keep = False
+            self._keep_alive = False
         if self._response is not None:
             self._complete(self._response)
             return
         self.partial_read_us = now_us()
-        # Guards against a head that never ends, or interim answers without end.
-        self._head_size += len(data) if in_head else 0
-        if in_head and self._in_head and self._head_size > MAX_HEAD:
+        # Guards against a header section that never ends, and against endless interim responses.
+        self._header_bytes += len(data) if in_header_section else 0
+        if in_header_section and self._in_header_section and self._header_bytes > MAX_HEADER_BYTES:
             self.fail()
 
     def _complete(self, response: Response) -> None:
-        reusable = self._keep and self.flushed
+        reusable = self._keep_alive and self.flushed
         self.busy = False
         self._reset()
         if not reusable:
@@ -111,50 +112,53 @@
         attempt, self.attempt = self.attempt, None
         self.owner.on_response(self, attempt, response, reusable)
 
-    # --- the parser's calls ---
+    # --- parser callbacks ---
 
     def on_message_begin(self) -> None:
         if self._response is not None:
-            raise ValueError("a second answer to one request")
+            raise ValueError("a second response to one request")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self._in_head:  # what comes behind a chunked body is no part of the head
+        if self._in_header_section:  # trailers of a chunked body are ignored
             self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
         if self._parser is None or self._parser.get_status_code() < 200:
             return
-        self._in_head = False
+        self._in_header_section = False
         length = -1
         for name, value in self._headers:
             key = name.lower()
             if key == b"content-length":
-                length = int(value)  # digits, and given once: the parser has seen to that
+                length = int(value)  # the parser accepts only digits, and only one such header
             elif key == b"transfer-encoding" and value.lower() == b"chunked":
                 length = 0
-        # With no length the end of the connection would end the answer: a cut would look whole.
-        if length < 0 or length > self.max_body:
-            raise ValueError("no length, or too long")
+        # Without a length the response would end with the connection, so a truncated one would look complete.
+        if length < 0 or length > self.max_body_bytes:
+            raise ValueError("the response has no length, or is too long")
 
     def on_body(self, body: bytes) -> None:
-        if len(self._body) + len(body) > self.max_body or not self.budget.reserve(len(body)):
-            raise ValueError("the body is too long")
+        if len(self._body) + len(body) > self.max_body_bytes or not self.budget.reserve(len(body)):
+            raise ValueError("the body is too long, or no memory is left")
         self._body += body
 
     def on_message_complete(self) -> None:
         parser = self._parser
         if parser is None:
             return
-        if parser.get_status_code() < 200:  # an interim answer
+        if parser.get_status_code() < 200:  # an interim response
             self._headers = []
             return
-        # Only here does the parser know: once it has left this message, it speaks for the next.
-        self._keep = parser.should_keep_alive()
+        # Valid only within this callback: afterwards the parser reports on the next message.
+        self._keep_alive = parser.should_keep_alive()
         self._response = Response(parser.get_status_code(), self._headers, bytes(self._body))
 
 
 def classify(response: Response) -> Outcome:
-    """The protocol's table of what comes back; a plain 503 is an error that may have run."""
+    """Return the outcome of a response, as PROTOCOL defines it.
+
+    A 503 or 504 without `Srv-Declined: 1` is an error after which the request may have run.
+    """
     if response.status == 200:
         return Outcome.OK
     if response.status in (503, 504):
@@ -164,27 +168,27 @@
     return Outcome.ERROR
 
 
-class Http1:
-    """The way to speak HTTP/1.1 to an endpoint."""
+class Http1Protocol:
+    """HTTP/1.1 as a client protocol of the sidecar. It is the same for all endpoints."""
 
-    def for_labels(self, labels: frozenset[str]) -> Http1:
+    def for_labels(self, labels: frozenset[str]) -> Http1Protocol:
         return self
 
     def new_connection(self, owner: ConnectionOwner, budget: ByteBudget) -> Connection:
         return Connection(owner, budget)
 
 
-HTTP1 = Connection.protocol = Http1()
+HTTP1 = Connection.protocol = Http1Protocol()
 
 
 class RequestPayload:
-    """A request as it goes out: the time that is left is told anew with each attempt."""
+    """A request as forwarded to endpoints. Each attempt adds its own remaining time."""
 
     __slots__ = ("body", "head")
     protocol = HTTP1
 
     def __init__(self, head: bytes, body: bytes) -> None:
-        self.head = head  # request line and headers, but for the time that is left
+        self.head = head  # request line and headers, except for the remaining time
         self.body = body
 
     def data(self, left_ms: int) -> bytes:
