--- a/eiderhub/protocols/thrift/__init__.py
+++ b/eiderhub/protocols/thrift/__init__.py
@@ -1,1 +1,1 @@
-"""Framed Thrift, binary and compact, behind the same host as HTTP/1.1. Imported only where it is switched on."""
+"""Framed Thrift, binary and compact, on the same host as HTTP/1.1. Imported only if the operator enables it."""
--- a/eiderhub/protocols/thrift/admission.py
+++ b/eiderhub/protocols/thrift/admission.py
@@ -1,7 +1,7 @@
-"""Which class, tenant, key and time a Thrift call has: choices without I/O.
+"""Determines the class, tenant, idempotency key and deadline of a Thrift call, without I/O.
 
-Thrift has no headers. What HTTP tells in `Req-*` headers comes from fields of the arguments, whose paths the operator
-names, or from the listener and the class. The meanings are HTTP's.
+Thrift has no headers. The values that HTTP carries in `Req-*` headers come from fields of the arguments, at paths that
+the operator configures, or from defaults of the listener and of the class. They mean the same as in HTTP.
 """
 
 from __future__ import annotations
@@ -11,90 +11,100 @@
 
 from eiderhub.interface import Effect, RequestClass
 from eiderhub.protocols.thrift import field_paths
-from eiderhub.protocols.thrift.definitions import MAX_FRAME, Encoding, ExceptionType, MessageHeader, MessageType
-from eiderhub.protocols.thrift.field_paths import Tree, Value
-from eiderhub.protocols.thrift.replies import NO_SHEDDING, strip_service
+from eiderhub.protocols.thrift.definitions import MAX_FRAME_BYTES, Encoding, ExceptionType, MessageHeader, MessageType
+from eiderhub.protocols.thrift.field_paths import PathTree, Value
+from eiderhub.protocols.thrift.replies import NO_SHED_TYPES, split_service
 from eiderhub.routing.plan import Plan
 from eiderhub.routing.target import Asked
 
-MAX_ID = 128  # bytes of a request id or a key, as for HTTP
+MAX_ID_BYTES = 128  # of a request id or an idempotency key, as for HTTP
 MAX_DEADLINE_MS = 3_600_000
 TENANT, KEY, REQUEST_ID, DEADLINE, COST = "tenant", "key", "request_id", "deadline_ms", "cost_us"
 
 
 @dataclass(frozen=True, slots=True)
 class ListenerOptions:
-    """A listener, as the operator's file has it."""
+    """Options of the listener, from the table `[thrift]` of the operator's file."""
 
     host: str
     port: int
-    endpoint_encoding: Encoding | None = None  # that endpoints speak; None: the caller's own
-    encoding_from_labels: bool = False  # an endpoint's label `thrift=binary` or `thrift=compact` stands above that
-    # How long a caller may ask for nothing: Thrift's clients do not connect anew unasked.
+    endpoint_encoding: Encoding | None = None  # encoding of endpoints; None: the caller's encoding
+    encoding_from_labels: bool = False  # an endpoint's label `thrift=binary` or `thrift=compact` takes precedence
+    # Between calls of a connection. Long, because Thrift clients don't reconnect by themselves.
     idle_timeout_us: int = 300_000_000
-    max_frame_bytes: int = MAX_FRAME  # bytes of a frame, either way
-    in_order: bool = True  # answers leave in the order of the calls, for clients that match no sequence ids
-    max_pending_calls: int = 16  # that one connection may have out at a time
-    default_tenant: str | None = None  # of all calls on it, where no field tells
-    default_deadline_us: int = 0  # a caller's time, where no field tells; 0: the class's own
-    field_paths: Mapping[str, tuple[int, ...]] = field(default_factory=dict)  # by what they tell: their path
-    shed_exception_types: frozenset[int] = NO_SHEDDING  # types of exceptions by which endpoints turn calls away, unrun
+    max_frame_bytes: int = MAX_FRAME_BYTES  # of calls and of replies
+    in_order: bool = True  # responses leave in the order of the calls, for clients that don't match sequence ids
+    max_pending_calls: int = 16  # per connection
+    default_tenant: str | None = None  # of calls without a tenant field
+    default_deadline_us: int = 0  # of calls without a deadline field; 0: the deadline of the class
+    field_paths: Mapping[str, tuple[int, ...]] = field(default_factory=dict)  # by the name of the value, such as TENANT
+    # Types of TApplicationException by which endpoints shed calls without running them.
+    shed_exception_types: frozenset[int] = NO_SHED_TYPES
 
 
-class NotTaken(Exception):
-    """A call that the module never hears of; the text and type are the answer, and the connection goes on."""
+class CallRejected(Exception):
+    """A well-formed call that is not admitted. The caller gets an exception of this type and text.
 
-    def __init__(self, failure: int, reason: str) -> None:
+    The connection stays open.
+    """
+
+    def __init__(self, exception_type: int, reason: str) -> None:
         super().__init__(reason)
-        self.failure = failure
+        self.exception_type = exception_type
 
 
 @dataclass(frozen=True, slots=True)
-class Admitted:
-    """What the host has to know of a call."""
+class AdmittedCall:
+    """The properties of a call that the host needs."""
 
-    grade: str
+    class_name: str
     tenant: str | None
-    hint_us: int | None
-    wait_us: int
-    request_id: bytes  # b"": none told
+    cost_hint_us: int | None
+    timeout_us: int
+    request_id: bytes  # b"" if the call has none
 
 
-class Reader:
-    """Reads calls of one listener."""
+class CallReader:
+    """Reads the properties of the calls that reach one listener."""
 
     def __init__(self, options: ListenerOptions, tenants: Mapping[bytes, str]) -> None:
         self.options = options
         self.tenants = tenants
-        self.tree: Tree | None = field_paths.tree(options.field_paths.items()) if options.field_paths else None
+        self.path_tree: PathTree | None = (
+            field_paths.build_tree(options.field_paths.items()) if options.field_paths else None
+        )
+
+    def admit(self, plan: Plan, message: bytes, header: MessageHeader) -> AdmittedCall:
+        """Return the properties of a call.
 
-    def admit(self, plan: Plan, message: bytes, header: MessageHeader) -> Admitted:
-        """Raises NotTaken for what is well-formed and can't be taken, and Malformed for what can't be read."""
+        Raises CallRejected for a well-formed call that can't be admitted, and MalformedMessage for one that can't be
+        parsed.
+        """
         if header.message_type not in (MessageType.CALL, MessageType.ONEWAY):
-            raise NotTaken(
+            raise CallRejected(
                 ExceptionType.INVALID_MESSAGE_TYPE, f"a message of type {int(header.message_type)} is no call"
             )
-        found = field_paths.read(message, header, self.tree) if self.tree is not None else {}
-        tenant = self._tenant(found)
-        grade = self._grade(plan, header.name, tenant)
-        if grade is None:
-            raise NotTaken(ExceptionType.UNKNOWN_METHOD, "no route takes this call")
-        if header.message_type is MessageType.ONEWAY and grade.effect is Effect.DEDUPLICATED:
-            raise NotTaken(
+        values = field_paths.read_values(message, header, self.path_tree) if self.path_tree is not None else {}
+        tenant = self._tenant(values)
+        request_class = self._request_class(plan, header.name, tenant)
+        if request_class is None:
+            raise CallRejected(ExceptionType.UNKNOWN_METHOD, "no route takes this call")
+        if header.message_type is MessageType.ONEWAY and request_class.effect is Effect.DEDUPLICATED:
+            raise CallRejected(
                 ExceptionType.INVALID_MESSAGE_TYPE, "a oneway call of a keyed class: nobody would learn of it"
             )
-        self._check_key(grade, found)
-        return Admitted(
-            grade.name,
+        self._check_key(request_class, values)
+        return AdmittedCall(
+            request_class.name,
             tenant,
-            _number(found, COST, 1 << 50),
-            self._wait_us(plan, grade, found),
-            _identifier(found, REQUEST_ID),
+            _read_number(values, COST, 1 << 50),
+            self._timeout_us(plan, request_class, values),
+            _read_identifier(values, REQUEST_ID),
         )
 
-    def _grade(self, plan: Plan, name: bytes, tenant: str | None) -> RequestClass | None:
-        """The class by the routes; where none takes the call, the method's name is its class."""
-        service, method = strip_service(name)
+    def _request_class(self, plan: Plan, name: bytes, tenant: str | None) -> RequestClass | None:
+        """Return the class that the routes give; if no route matches, the class named as the method."""
+        service, method = split_service(name)
         asked = Asked(
             "thrift",
             "",
@@ -107,47 +117,54 @@
         )
         return plan.grade(asked)
 
-    def _tenant(self, found: Mapping[str, Value]) -> str | None:
-        told = found.get(TENANT)
-        if told is None:
+    def _tenant(self, values: Mapping[str, Value]) -> str | None:
+        value = values.get(TENANT)
+        if value is None:
             if self.options.default_tenant is None and self.tenants:
-                raise NotTaken(ExceptionType.PROTOCOL_ERROR, "tenant: missing")
+                raise CallRejected(ExceptionType.PROTOCOL_ERROR, "tenant: missing")
             return self.options.default_tenant
-        tenant = self.tenants.get(told) if isinstance(told, bytes) else None
-        if tenant is None and self.tenants:  # each unknown name would get a budget, and memory, of its own
-            raise NotTaken(ExceptionType.PROTOCOL_ERROR, "tenant: unknown")
+        tenant = self.tenants.get(value) if isinstance(value, bytes) else None
+        if tenant is None and self.tenants:  # each unknown name would get its own budget, and take memory
+            raise CallRejected(ExceptionType.PROTOCOL_ERROR, "tenant: unknown")
         return tenant
 
-    def _check_key(self, grade: RequestClass, found: Mapping[str, Value]) -> None:
-        """A keyed class needs a key where the operator has named its place: without one repeats are not dropped."""
-        if grade.effect is not Effect.DEDUPLICATED:
-            return
-        if KEY in self.options.field_paths and not _identifier(found, KEY):
-            raise NotTaken(ExceptionType.PROTOCOL_ERROR, "key: missing")
+    def _check_key(self, request_class: RequestClass, values: Mapping[str, Value]) -> None:
+        """Raise CallRejected if a call of a deduplicated class has no key although a path for it is configured.
 
-    def _wait_us(self, plan: Plan, grade: RequestClass, found: Mapping[str, Value]) -> int:
-        told = _number(found, DEADLINE, MAX_DEADLINE_MS)
-        wait_us = told * 1000 if told is not None else self.options.default_deadline_us or grade.deadline_us
-        return min(wait_us, plan.tighter_us.get(grade.name, wait_us))
+        Endpoints drop repeated calls by their key.
+        """
+        if request_class.effect is not Effect.DEDUPLICATED:
+            return
+        if KEY in self.options.field_paths and not _read_identifier(values, KEY):
+            raise CallRejected(ExceptionType.PROTOCOL_ERROR, "key: missing")
+
+    def _timeout_us(self, plan: Plan, request_class: RequestClass, values: Mapping[str, Value]) -> int:
+        timeout_ms = _read_number(values, DEADLINE, MAX_DEADLINE_MS)
+        timeout_us = (
+            timeout_ms * 1000
+            if timeout_ms is not None
+            else self.options.default_deadline_us or request_class.deadline_us
+        )
+        return min(timeout_us, plan.tighter_us.get(request_class.name, timeout_us))
 
 
-def _number(found: Mapping[str, Value], name: str, most: int) -> int | None:
-    value = found.get(name)
+def _read_number(values: Mapping[str, Value], name: str, maximum: int) -> int | None:
+    value = values.get(name)
     if value is None:
         return None
-    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= most:
-        raise NotTaken(ExceptionType.PROTOCOL_ERROR, f"{name}: no number within its range")
+    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= maximum:
+        raise CallRejected(ExceptionType.PROTOCOL_ERROR, f"{name}: no number within its range")
     return value
 
 
-def _identifier(found: Mapping[str, Value], name: str) -> bytes:
-    """Text, or a number, as bytes; nothing where there is none."""
-    value = found.get(name)
+def _read_identifier(values: Mapping[str, Value], name: str) -> bytes:
+    """Return a string or an integer as bytes; b"" if it is absent. Raises CallRejected for other types and lengths."""
+    value = values.get(name)
     if value is None:
         return b""
     if isinstance(value, bool | float):
-        raise NotTaken(ExceptionType.PROTOCOL_ERROR, f"{name}: neither text nor a whole number")
-    told = b"%d" % value if isinstance(value, int) else value
-    if not 0 < len(told) <= MAX_ID:
-        raise NotTaken(ExceptionType.PROTOCOL_ERROR, f"{name}: empty or too long")
-    return told
+        raise CallRejected(ExceptionType.PROTOCOL_ERROR, f"{name}: neither text nor a whole number")
+    identifier = b"%d" % value if isinstance(value, int) else value
+    if not 0 < len(identifier) <= MAX_ID_BYTES:
+        raise CallRejected(ExceptionType.PROTOCOL_ERROR, f"{name}: empty or too long")
+    return identifier
--- a/eiderhub/protocols/thrift/binary.py
+++ b/eiderhub/protocols/thrift/binary.py
@@ -1,4 +1,4 @@
-"""The binary encoding, without IDL: headers, and a reader that walks any struct and copies nothing."""
+"""Binary encoding, without IDL: message headers, and skipping over structs of any shape without copying."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from eiderhub.protocols.thrift.definitions import (
     MAX_DEPTH,
-    MAX_NAME,
+    MAX_NAME_BYTES,
     Encoding,
     MalformedMessage,
     MessageHeader,
@@ -24,8 +24,8 @@
 U32: Final = Struct(">I")
 DOUBLE: Final = Struct(">d")
 
-# The bytes of each type of fixed size, and the least bytes of every type: what a container claims is held against them.
-FIXED: Final[dict[int, int]] = {
+# Bytes of each fixed-size type, and the minimum of each type: the claimed size of a container is checked with these.
+FIXED_SIZES: Final[dict[int, int]] = {
     TType.BOOL: 1,
     TType.BYTE: 1,
     TType.I16: 2,
@@ -34,42 +34,49 @@
     TType.DOUBLE: 8,
     TType.UUID: 16,
 }
-LEAST: Final[dict[int, int]] = {**FIXED, TType.STRING: 4, TType.STRUCT: 1, TType.MAP: 6, TType.SET: 5, TType.LIST: 5}
-
-# Fields that need no look at what is within them, as many as stand together: skipped at once, without a step of the
-# interpreter for each. Possessive, so a match never goes back over what it took. A string's length can't be counted in
-# a pattern, so each length of up to 127 bytes has its branch. What the pattern does not know ends the run, and `skip`
-# looks at it.
-SHORT: Final = b"|".join(re.escape(bytes((n,))) + b".{%d}" % n for n in range(128))
-PLAIN: Final = (
+MIN_SIZES: Final[dict[int, int]] = {
+    **FIXED_SIZES,
+    TType.STRING: 4,
+    TType.STRUCT: 1,
+    TType.MAP: 6,
+    TType.SET: 5,
+    TType.LIST: 5,
+}
+
+# A run of adjacent fields without nested values, skipped by one match instead of an interpreter step per field.
+# The quantifier is possessive, so that a match never backtracks. A pattern can't use a string's length as a count, so
+# each length of up to 127 bytes has its own branch. A field that the pattern doesn't match ends the run, and `skip`
+# handles it.
+SHORT_STRINGS: Final = b"|".join(re.escape(bytes((n,))) + b".{%d}" % n for n in range(128))
+PLAIN_FIELDS: Final = (
     b"(?:[%s]..." % bytes((TType.BOOL, TType.BYTE))
-    + b"".join(b"|\\x%02x.{%d}" % (kind, 2 + size) for kind, size in FIXED.items() if size > 1)
-    + b"|\\x%02x..\\0\\0\\0(?:%s))*+" % (TType.STRING, SHORT)
+    + b"".join(b"|\\x%02x.{%d}" % (type_id, 2 + size) for type_id, size in FIXED_SIZES.items() if size > 1)
+    + b"|\\x%02x..\\0\\0\\0(?:%s))*+" % (TType.STRING, SHORT_STRINGS)
 )
 
 
 class Patterns:
-    """The patterns of an encoding, from that of a run of plain fields."""
+    """Compiled patterns of an encoding, built from the pattern of a run of plain fields."""
 
     def __init__(self, plain: bytes) -> None:
         self.run = re.compile(plain, re.DOTALL).match
-        # Structs of plain fields alone, eight at a time as elements of a list: a list tells its count, which no pattern
-        # can read. Where eight fail they are skipped one by one, so nothing is looked at more than twice.
+        # Eight structs of plain fields at a time, as elements of a list: a pattern can't use the list's count. If eight
+        # don't match, they are skipped one by one, so that no byte is scanned more than twice.
         self.eight = re.compile(b"(?:%s\\0){8}" % plain, re.DOTALL).match
 
-    def structs(self, frame: bytes, at: int, count: int) -> tuple[int, int]:
-        """How many of the next structs are left, and where they begin, behind the first that are plain."""
-        while count >= 8 and (found := self.eight(frame, at)):
-            at = found.end()
+    def structs(self, frame: bytes, offset: int, count: int) -> tuple[int, int]:
+        """Skip plain structs in groups of eight. Return the number of structs left, and their offset."""
+        while count >= 8 and (found := self.eight(frame, offset)):
+            offset = found.end()
             count -= 8
-        return count, at
+        return count, offset
 
 
-PATTERNS: Final = Patterns(PLAIN)
+PATTERNS: Final = Patterns(PLAIN_FIELDS)
 
 
 def read_header(frame: bytes) -> MessageHeader:
-    """The header of a message, strict or as old clients send it (the name first, with no version)."""
+    """Parse the header of a message, strict or old (name first, without a version). Raises MalformedMessage."""
     size = len(frame)
     if size < 4:
         raise MalformedMessage("a message that ends in its header")
@@ -81,149 +88,149 @@
     return _header(frame, 0, 0, strict=False)
 
 
-def _header(frame: bytes, at: int, kind: int, *, strict: bool) -> MessageHeader:
+def _header(frame: bytes, offset: int, message_type: int, *, strict: bool) -> MessageHeader:
     size = len(frame)
-    if size < at + 4:
+    if size < offset + 4:
         raise MalformedMessage("a message that ends in its header")
-    (length,) = U32.unpack_from(frame, at)
-    at += 4
-    if length > MAX_NAME:
+    (length,) = U32.unpack_from(frame, offset)
+    offset += 4
+    if length > MAX_NAME_BYTES:
         raise MalformedMessage("no Thrift message, or the method's name is too long")
-    name = frame[at : at + length]
-    at += length
+    name = frame[offset : offset + length]
+    offset += length
     if not strict:
-        if at >= size:
+        if offset >= size:
             raise MalformedMessage("a message that ends in its header")
-        kind = frame[at]
-        at += 1
-    if size < at + 4:
+        message_type = frame[offset]
+        offset += 1
+    if size < offset + 4:
         raise MalformedMessage("a message that ends in its header")
-    if not 1 <= kind <= 4:
-        raise MalformedMessage(f"a message of type {kind}")
-    (seqid,) = I32.unpack_from(frame, at)
-    return MessageHeader(Encoding.BINARY, MessageType(kind), name, seqid, at, at + 4, at + 4)
+    if not 1 <= message_type <= 4:
+        raise MalformedMessage(f"a message of type {message_type}")
+    (seqid,) = I32.unpack_from(frame, offset)
+    return MessageHeader(Encoding.BINARY, MessageType(message_type), name, seqid, offset, offset + 4, offset + 4)
 
 
-def write_header(kind: int, name: bytes, seqid: int) -> bytes:
-    """A strict header."""
-    return U32.pack(VERSION_1 | kind) + U32.pack(len(name)) + name + I32.pack(seqid)
+def write_header(message_type: int, name: bytes, seqid: int) -> bytes:
+    """Encode a strict message header."""
+    return U32.pack(VERSION_1 | message_type) + U32.pack(len(name)) + name + I32.pack(seqid)
 
 
 def write_seqid(seqid: int) -> bytes:
     return I32.pack(seqid)
 
 
-def skip(frame: bytes, at: int, kind: int, depth: int = 0) -> int:
-    """Where a value of this type ends."""
-    end = at + FIXED.get(kind, 0)
-    if end > at:
+def skip(frame: bytes, offset: int, type_id: int, depth: int = 0) -> int:
+    """Return the offset after a value of this type. Raises MalformedMessage."""
+    end = offset + FIXED_SIZES.get(type_id, 0)
+    if end > offset:
         if end > len(frame):
             raise MalformedMessage("a value that ends past its frame")
         return end
-    if kind == TType.STRING:
-        return string_end(frame, at)[1]
+    if type_id == TType.STRING:
+        return string_bounds(frame, offset)[1]
     if depth >= MAX_DEPTH:
         raise MalformedMessage(f"more than {MAX_DEPTH} levels within each other")
-    if kind == TType.STRUCT:
-        return skip_struct(frame, at, depth + 1)
-    if kind in (TType.LIST, TType.SET):
-        element, count, at = container(frame, at)
-        if fixed := FIXED.get(element):
-            return at + fixed * count  # `container` has seen that so much is there
+    if type_id == TType.STRUCT:
+        return skip_struct(frame, offset, depth + 1)
+    if type_id in (TType.LIST, TType.SET):
+        element, count, offset = list_header(frame, offset)
+        if fixed := FIXED_SIZES.get(element):
+            return offset + fixed * count  # `list_header` has checked that the frame has these bytes
         if element == TType.STRUCT and count:
-            return _skip_structs(frame, at, count, depth + 2)
+            return _skip_structs(frame, offset, count, depth + 2)
         for _ in range(count):
-            at = skip(frame, at, element, depth + 1)
-        return at
-    if kind == TType.MAP:
-        key, value, count, at = pairs(frame, at)
+            offset = skip(frame, offset, element, depth + 1)
+        return offset
+    if type_id == TType.MAP:
+        key, value, count, offset = map_header(frame, offset)
         for _ in range(count):
-            at = skip(frame, skip(frame, at, key, depth + 1), value, depth + 1)
-        return at
-    raise MalformedMessage(f"type {kind} is not known")
+            offset = skip(frame, skip(frame, offset, key, depth + 1), value, depth + 1)
+        return offset
+    raise MalformedMessage(f"type {type_id} is not known")
 
 
-def _skip_structs(frame: bytes, at: int, count: int, depth: int) -> int:
-    """Where so many structs end; `depth` is that within them."""
+def _skip_structs(frame: bytes, offset: int, count: int, depth: int) -> int:
+    """Return the offset after `count` structs; `depth` is the nesting depth inside them."""
     if depth > MAX_DEPTH:
         raise MalformedMessage(f"more than {MAX_DEPTH} levels within each other")
     while count:
-        count, at = PATTERNS.structs(frame, at, count)
+        count, offset = PATTERNS.structs(frame, offset, count)
         for _ in range(min(count, 8)):
-            at = skip_struct(frame, at, depth)
+            offset = skip_struct(frame, offset, depth)
             count -= 1
-    return at
+    return offset
 
 
-def skip_struct(frame: bytes, at: int, depth: int = 0) -> int:
-    """Where a struct ends, its stop included."""
+def skip_struct(frame: bytes, offset: int, depth: int = 0) -> int:
+    """Return the offset after a struct and its stop field. Raises MalformedMessage."""
     size = len(frame)
-    run_of = PATTERNS.run
+    match_run = PATTERNS.run
     while True:
-        run = run_of(frame, at)
+        run = match_run(frame, offset)
         if run is not None:
-            at = run.end()
-        if at >= size:
+            offset = run.end()
+        if offset >= size:
             raise MalformedMessage("a struct without its stop")
-        kind = frame[at]
-        if not kind:
-            return at + 1
-        at = skip(frame, at + 3, kind, depth)
+        type_id = frame[offset]
+        if not type_id:
+            return offset + 1
+        offset = skip(frame, offset + 3, type_id, depth)
 
 
-def field(frame: bytes, at: int) -> tuple[int, int, int]:
-    """The type of the field at `at`, its id, and where its value begins; type 0 is the struct's stop."""
-    if at >= len(frame):
+def field_header(frame: bytes, offset: int) -> tuple[int, int, int]:
+    """Return a field's type, its id and the offset of its value; type 0 is the stop field."""
+    if offset >= len(frame):
         raise MalformedMessage("a struct without its stop")
-    kind = frame[at]
-    if not kind:
-        return 0, 0, at + 1
-    if at + 3 > len(frame):
+    type_id = frame[offset]
+    if not type_id:
+        return 0, 0, offset + 1
+    if offset + 3 > len(frame):
         raise MalformedMessage("a field that ends in its header")
-    return kind, I16.unpack_from(frame, at + 1)[0], at + 3
+    return type_id, I16.unpack_from(frame, offset + 1)[0], offset + 3
 
 
-def string_end(frame: bytes, at: int) -> tuple[int, int]:
-    """Where a string's bytes begin and end."""
-    if at + 4 > len(frame):
+def string_bounds(frame: bytes, offset: int) -> tuple[int, int]:
+    """Return the offsets where a string's bytes begin and end."""
+    if offset + 4 > len(frame):
         raise MalformedMessage("a string that ends in its length")
-    (length,) = U32.unpack_from(frame, at)
-    begin = at + 4
+    (length,) = U32.unpack_from(frame, offset)
+    begin = offset + 4
     if length > len(frame) - begin:
         raise MalformedMessage("a string that ends past its frame")
     return begin, begin + length
 
 
-def container(frame: bytes, at: int) -> tuple[int, int, int]:
-    """The element's type of a list or set, how many there are, and where they begin.
+def list_header(frame: bytes, offset: int) -> tuple[int, int, int]:
+    """Return the element type of a list or set, the count of elements and the offset of the first one.
 
-    The claim is held against what is left of the frame, so no loop over it outlasts the bytes that came.
+    The count is checked against the rest of the frame, so that the cost of a loop over it is bounded by the frame.
     """
-    if at + 5 > len(frame):
+    if offset + 5 > len(frame):
         raise MalformedMessage("a container that ends in its header")
-    element = frame[at]
-    (count,) = U32.unpack_from(frame, at + 1)
-    at += 5
-    _check_claim(count, LEAST.get(element, 0), len(frame) - at)
-    return element, count, at
+    element = frame[offset]
+    (count,) = U32.unpack_from(frame, offset + 1)
+    offset += 5
+    _check_count(count, MIN_SIZES.get(element, 0), len(frame) - offset)
+    return element, count, offset
 
 
-def pairs(frame: bytes, at: int) -> tuple[int, int, int, int]:
-    """The types of a map's keys and values, how many pairs there are, and where they begin."""
-    if at + 6 > len(frame):
+def map_header(frame: bytes, offset: int) -> tuple[int, int, int, int]:
+    """Return the types of a map's keys and values, the count of pairs and the offset of the first one."""
+    if offset + 6 > len(frame):
         raise MalformedMessage("a container that ends in its header")
-    key, value = frame[at], frame[at + 1]
-    (count,) = U32.unpack_from(frame, at + 2)
-    at += 6
-    known = key in LEAST and value in LEAST
-    _check_claim(count, LEAST[key] + LEAST[value] if known else 0, len(frame) - at)
-    return key, value, count, at
+    key, value = frame[offset], frame[offset + 1]
+    (count,) = U32.unpack_from(frame, offset + 2)
+    offset += 6
+    known = key in MIN_SIZES and value in MIN_SIZES
+    _check_count(count, MIN_SIZES[key] + MIN_SIZES[value] if known else 0, len(frame) - offset)
+    return key, value, count, offset
 
 
-def _check_claim(count: int, least: int, left: int) -> None:
+def _check_count(count: int, min_size: int, bytes_left: int) -> None:
     if not count:
-        return  # an empty container's types say nothing: some write 0 there
-    if not least:
+        return  # the types of an empty container are ignored: some libraries write 0
+    if not min_size:
         raise MalformedMessage("a container of a type that is not known")
-    if count * least > left:
+    if count * min_size > bytes_left:
         raise MalformedMessage("a container that claims more than its frame holds")
--- a/eiderhub/protocols/thrift/client.py
+++ b/eiderhub/protocols/thrift/client.py
@@ -1,4 +1,4 @@
-"""The client side of Thrift: framed connections to servers, one call at a time on each, and how calls end."""
+"""Client side of Thrift: framed connections that carry one call at a time, and the payload of calls."""
 
 from __future__ import annotations
 
@@ -9,7 +9,13 @@
 from eiderhub.protocols.thrift import replies
 from eiderhub.protocols.thrift.admission import ListenerOptions
 from eiderhub.protocols.thrift.convert import convert, with_seqid
-from eiderhub.protocols.thrift.definitions import MAX_FRAME, Encoding, MalformedMessage, MessageHeader, MessageType
+from eiderhub.protocols.thrift.definitions import (
+    MAX_FRAME_BYTES,
+    Encoding,
+    MalformedMessage,
+    MessageHeader,
+    MessageType,
+)
 from eiderhub.protocols.thrift.framing import FrameReader, framed
 from eiderhub.protocols.thrift.messages import read_header
 from eiderhub.sidecar.clock import now_us
@@ -17,11 +23,11 @@
 from eiderhub.sidecar.resource_limits import ByteBudget
 from eiderhub.sidecar.upstream import Attempt
 
-MAX_SEQID = 0x7FFFFFFF
+MAX_SEQID = 0x7FFFFFFF  # sequence ids are signed, 32 bits
 
 
 class Reply:
-    """A whole answer of a server, in its encoding."""
+    """A complete reply of an endpoint, in the endpoint's encoding."""
 
     __slots__ = ("header", "message")
 
@@ -30,116 +36,126 @@
         self.header = header
 
     def load(self) -> LoadReport | None:
-        """Thrift has no place for a report."""
+        """Return None: Thrift replies carry no load report."""
         return None
 
 
-class Thrift:
-    """The way to speak Thrift to the endpoints of a listener: their encoding, and what they mean by shedding load."""
+class ThriftProtocol:
+    """Framed Thrift in one encoding, as a client protocol of the sidecar.
+
+    `shed_exception_types` are the types of TApplicationException by which endpoints shed calls.
+    """
 
     def __init__(
-        self, encoding: Encoding, shedding: frozenset[int] = replies.NO_SHEDDING, most: int = MAX_FRAME
+        self,
+        encoding: Encoding,
+        shed_exception_types: frozenset[int] = replies.NO_SHED_TYPES,
+        max_frame_bytes: int = MAX_FRAME_BYTES,
     ) -> None:
         self.encoding = encoding
-        self.shedding = shedding
-        self.most = most  # bytes of a reply
-        self.stated: dict[str, Thrift] = {}  # by an endpoint's label that stands above: how to speak to that one
-
-    def for_labels(self, labels: frozenset[str]) -> Thrift:
-        if self.stated:
-            for label, wire in self.stated.items():
+        self.shed_exception_types = shed_exception_types
+        self.max_frame_bytes = max_frame_bytes  # of a reply
+        # By an endpoint's label, which takes precedence over this protocol's encoding.
+        self.protocols_by_label: dict[str, ThriftProtocol] = {}
+
+    def for_labels(self, labels: frozenset[str]) -> ThriftProtocol:
+        if self.protocols_by_label:
+            for label, protocol in self.protocols_by_label.items():
                 if label in labels:
-                    return wire
+                    return protocol
         return self
 
     def new_connection(self, owner: ConnectionOwner, budget: ByteBudget) -> Connection:
         return Connection(owner, budget, self)
 
 
-def wires(options: ListenerOptions) -> dict[Encoding, Thrift]:
-    """By the caller's encoding: how its calls go on."""
-    found = {e: Thrift(e, options.shed_exception_types, options.max_frame_bytes) for e in Encoding}
+def client_protocols(options: ListenerOptions) -> dict[Encoding, ThriftProtocol]:
+    """Return the protocol to forward calls with, by the caller's encoding."""
+    found = {e: ThriftProtocol(e, options.shed_exception_types, options.max_frame_bytes) for e in Encoding}
     if options.encoding_from_labels:
-        labels = {f"thrift={e.name.lower()}": wire for e, wire in found.items()}
-        for wire in found.values():
-            wire.stated = labels
+        labels = {f"thrift={e.name.lower()}": protocol for e, protocol in found.items()}
+        for protocol in found.values():
+            protocol.protocols_by_label = labels
     return {e: found[options.endpoint_encoding if options.endpoint_encoding is not None else e] for e in Encoding}
 
 
-class Call:
-    """A call as it goes out. Each encoding of it is made once: servers see the client's message, but for its id."""
+class CallPayload:
+    """A call as forwarded to endpoints: the caller's message with another sequence id.
+
+    The message is converted at most once to each encoding.
+    """
 
-    __slots__ = ("_made", "header", "protocol", "unknown", "unsayable")
+    __slots__ = ("_encoded", "conversion_failed", "header", "is_method_unknown", "protocol")
 
-    def __init__(self, message: bytes, header: MessageHeader, wire: Thrift) -> None:
-        """Raises Malformed where it has to be converted and can't be: the caller's fault, and no endpoint's."""
+    def __init__(self, message: bytes, header: MessageHeader, protocol: ThriftProtocol) -> None:
+        """Raises MalformedMessage if the message has to be converted and can't be, which is the caller's fault."""
         self.header = header
-        self.protocol = wire
-        self.unknown = False  # whether an endpoint said that it has no such method
-        self.unsayable = False  # whether it could not be converted for an endpoint that states another encoding
-        self._made = {header.encoding: (message, header)}
-        if wire.encoding is not header.encoding and not wire.stated:
-            self._made[wire.encoding] = _converted(message, header, wire.encoding)
+        self.protocol = protocol
+        self.is_method_unknown = False  # whether an endpoint replied that it has no such method
+        self.conversion_failed = False  # whether conversion for an endpoint with another encoding failed
+        self._encoded = {header.encoding: (message, header)}
+        if protocol.encoding is not header.encoding and not protocol.protocols_by_label:
+            self._encoded[protocol.encoding] = _convert_message(message, header, protocol.encoding)
 
     @property
-    def oneway(self) -> bool:
+    def is_oneway(self) -> bool:
         return self.header.message_type is MessageType.ONEWAY
 
-    def data(self, left_ms: int) -> Call:
-        """Thrift's header has no place for the time that is left."""
+    def data(self, left_ms: int) -> CallPayload:
+        """Return the payload itself: Thrift's message header can't carry the remaining time."""
         return self
 
-    def stamped(self, encoding: Encoding, seqid: int) -> bytes:
-        """The message in the server's encoding, with the sequence id of a link. Raises Malformed."""
-        if encoding not in self._made:
+    def encode(self, encoding: Encoding, seqid: int) -> bytes:
+        """Return the message in the endpoint's encoding, with this sequence id. Raises MalformedMessage."""
+        if encoding not in self._encoded:
             try:
-                self._made[encoding] = _converted(*self._made[self.header.encoding], encoding)
+                self._encoded[encoding] = _convert_message(*self._encoded[self.header.encoding], encoding)
             except MalformedMessage:
-                self.unsayable = True
+                self.conversion_failed = True
                 raise
-        message, header = self._made[encoding]
+        message, header = self._encoded[encoding]
         return with_seqid(message, header, seqid)
 
 
-def _converted(message: bytes, header: MessageHeader, to: Encoding) -> tuple[bytes, MessageHeader]:
+def _convert_message(message: bytes, header: MessageHeader, to: Encoding) -> tuple[bytes, MessageHeader]:
     made = convert(message, header, to, header.seqid)
     return made, read_header(made, to)
 
 
 class Connection(EndpointConnection):
-    """One framed connection to a server.
+    """Framed connection to an endpoint. It carries one call at a time.
 
-    One call at a time: a server may answer several in any order, or none of them, and one that is given up can then
-    be cut off without a loss to another. Whatever is not the one answer that is waited for ends the connection.
+    With several calls on a connection, an endpoint could answer them in any order or not at all, and cancelling one
+    call by closing the connection would fail the others. Anything but the expected reply closes the connection.
     """
 
-    def __init__(self, owner: ConnectionOwner, budget: ByteBudget, wire: Thrift) -> None:
+    def __init__(self, owner: ConnectionOwner, budget: ByteBudget, protocol: ThriftProtocol) -> None:
         super().__init__(owner)
-        self.protocol: Thrift = wire
+        self.protocol: ThriftProtocol = protocol
         self.budget = budget
-        self.held = 0
+        self.reserved_bytes = 0
         self.seqid = 0
-        self.call: Call | None = None  # what is out
-        self._frames = FrameReader(wire.most)
+        self.call: CallPayload | None = None  # the call in progress
+        self._frames = FrameReader(protocol.max_frame_bytes)
 
-    def start_attempt(self, attempt: Attempt, data: Call) -> None:
+    def start_attempt(self, attempt: Attempt, data: CallPayload) -> None:
         seqid = self.seqid % MAX_SEQID + 1
-        message = data.stamped(self.protocol.encoding, seqid)
+        message = data.encode(self.protocol.encoding, seqid)
         self.attempt, self.call, self.seqid = attempt, data, seqid
         self.send(framed(message))
-        self._watch_oneway()
+        self._schedule_oneway_end()
 
     def resume_writing(self) -> None:
         super().resume_writing()
-        self._watch_oneway()
+        self._schedule_oneway_end()
 
-    def _watch_oneway(self) -> None:
-        """Later, for no attempt ends while the module is still at work above it."""
-        if self.call is not None and self.call.oneway:
-            asyncio.get_running_loop().call_soon(self._sent, self.call)
+    def _schedule_oneway_end(self) -> None:
+        """End a oneway call once it is sent. Deferred, as no attempt may end while the decision module starts it."""
+        if self.call is not None and self.call.is_oneway:
+            asyncio.get_running_loop().call_soon(self._on_oneway_sent, self.call)
 
-    def _sent(self, call: Call) -> None:
-        """The last byte of a oneway call has left: nothing more will come of it. The connection is free again."""
+    def _on_oneway_sent(self, call: CallPayload) -> None:
+        """End the attempt if the last byte of the oneway call has left; no reply follows. Frees the connection."""
         if self.call is not call or not self.flushed or self.closed:
             return
         attempt, self.attempt, self.call = self.attempt, None, None
@@ -149,12 +165,12 @@
     def outcome(self, reply: Any) -> Outcome:
         if reply is NO_REPLY:
             return Outcome.OK
-        return replies.judge(reply.message, reply.header, self.protocol.shedding)
+        return replies.classify(reply.message, reply.header, self.protocol.shed_exception_types)
 
     def data_received(self, data: bytes) -> None:
         if self.closed:
             return
-        if self.call is None:  # nobody asked
+        if self.call is None:  # unsolicited data
             self.fail()
             return
         try:
@@ -164,33 +180,33 @@
             return
         if not frames:
             self.partial_read_us = now_us()
-            if not self._hold(self._frames.held):
+            if not self._reserve(self._frames.buffered_bytes):
                 self.fail()
             return
-        self._hold(0)
-        # More than one reply: nobody can tell which is the call's own.
-        if len(frames) > 1 or self._frames.partial:
+        self._reserve(0)
+        # With more than one reply it is unknown which one belongs to the call.
+        if len(frames) > 1 or self._frames.is_partial:
             self.fail()
             return
-        self._answered(frames[0])
+        self._on_reply(frames[0])
 
-    def _hold(self, size: int) -> bool:
-        """Count what is kept of an answer that is not whole against the budget that all share."""
-        if size > self.held and not self.budget.reserve(size - self.held):
+    def _reserve(self, size: int) -> bool:
+        """Set the bytes reserved from the shared budget for an incomplete reply. Returns False if none are left."""
+        if size > self.reserved_bytes and not self.budget.reserve(size - self.reserved_bytes):
             return False
-        if size < self.held:
-            self.budget.release(self.held - size)
-        self.held = size
+        if size < self.reserved_bytes:
+            self.budget.release(self.reserved_bytes - size)
+        self.reserved_bytes = size
         return True
 
-    def _answered(self, message: bytes) -> None:
+    def _on_reply(self, message: bytes) -> None:
         assert self.call is not None
         try:
             header = read_header(message, self.protocol.encoding)
         except MalformedMessage:
             self.fail()
             return
-        if not replies.answers(self.call.header, self.seqid, header):
+        if not replies.is_reply_to(self.call.header, self.seqid, header):
             self.fail()
             return
         attempt, call = self.attempt, self.call
@@ -201,10 +217,10 @@
         if not reusable:
             self.close()
         reply = Reply(message, header)
-        call.unknown = call.unknown or self.outcome(reply) is Outcome.NOT_EXECUTED
+        call.is_method_unknown = call.is_method_unknown or self.outcome(reply) is Outcome.NOT_EXECUTED
         self.owner.on_response(self, attempt, reply, reusable)
 
     def release_resources(self) -> None:
         self.call = None
-        self._hold(0)
-        self._frames = FrameReader(self.protocol.most)
+        self._reserve(0)
+        self._frames = FrameReader(self.protocol.max_frame_bytes)
--- a/eiderhub/protocols/thrift/compact.py
+++ b/eiderhub/protocols/thrift/compact.py
@@ -1,4 +1,4 @@
-"""The compact encoding, without IDL: headers, and a reader that walks any struct and copies nothing."""
+"""Compact encoding, without IDL: message headers, and skipping over structs of any shape without copying."""
 
 from __future__ import annotations
 
@@ -6,60 +6,70 @@
 from struct import Struct
 from typing import Final
 
-from eiderhub.protocols.thrift.binary import SHORT, Patterns
+from eiderhub.protocols.thrift.binary import SHORT_STRINGS, Patterns
 from eiderhub.protocols.thrift.definitions import (
     MAX_DEPTH,
-    MAX_NAME,
+    MAX_NAME_BYTES,
     Encoding,
     MalformedMessage,
     MessageHeader,
     MessageType,
 )
 
-PROTOCOL: Final = 0x82
+PROTOCOL_ID: Final = 0x82
 VERSION: Final = 1
-# Types as this encoding numbers them. A field of type bool holds its value in its type.
+# Type ids of this encoding. The type of a bool field holds its value.
 TRUE, FALSE, BYTE, I16, I32, I64, DOUBLE, BINARY, LIST, SET, MAP, STRUCT, UUID = range(1, 14)
-LITTLE: Final = Struct("<d")
-FIXED: Final[dict[int, int]] = {TRUE: 1, FALSE: 1, BYTE: 1, DOUBLE: 8, UUID: 16}  # as elements of containers
-VARINTS: Final[dict[int, int]] = {I16: 16, I32: 32, I64: 64}  # and the bits of a zigzag number
-LEAST: Final[dict[int, int]] = {**FIXED, I16: 1, I32: 1, I64: 1, BINARY: 1, LIST: 1, SET: 1, MAP: 1, STRUCT: 1}
-
-
-def _headers(*kinds: int) -> bytes:
-    """The headers of fields of these types whose ids are told as steps, as a class of a pattern."""
-    return b"[%s]" % re.escape(bytes(step << 4 | kind for step in range(1, 16) for kind in kinds))
-
-
-# As in binary: fields that need no look at what is within them. Numbers have one byte less than they might, for
-# the last one can hold too many bits; those, and ids that are no steps, are looked at one by one.
+LITTLE_ENDIAN_DOUBLE: Final = Struct("<d")
+FIXED_SIZES: Final[dict[int, int]] = {TRUE: 1, FALSE: 1, BYTE: 1, DOUBLE: 8, UUID: 16}  # as elements of containers
+INTEGER_BITS: Final[dict[int, int]] = {I16: 16, I32: 32, I64: 64}  # encoded as zigzag varints
+MIN_SIZES: Final[dict[int, int]] = {
+    **FIXED_SIZES,
+    I16: 1,
+    I32: 1,
+    I64: 1,
+    BINARY: 1,
+    LIST: 1,
+    SET: 1,
+    MAP: 1,
+    STRUCT: 1,
+}
+
+
+def _header_class(*type_ids: int) -> bytes:
+    """Return a character class of the one-byte field headers of these types, which hold the field id as a delta."""
+    return b"[%s]" % re.escape(bytes(delta << 4 | type_id for delta in range(1, 16) for type_id in type_ids))
+
+
+# As in the binary encoding: a run of fields without nested values. Varints match up to one byte less than their
+# maximum, because the last byte could hold too many bits. Longer ones, and fields with a full id, are skipped singly.
 PATTERNS: Final = Patterns(
     b"(?:"
     + b"|".join((
-        _headers(TRUE, FALSE),
-        _headers(I32) + b"[\x80-\xff]{0,3}+[\0-\x7f]",
-        _headers(BINARY) + b"(?:%s)" % SHORT,
-        _headers(I64) + b"[\x80-\xff]{0,8}+[\0-\x7f]",
-        _headers(DOUBLE) + b".{8}",
-        _headers(I16) + b"[\x80-\xff]?+[\0-\x7f]",
-        _headers(BYTE) + b".",
-        _headers(UUID) + b".{16}",
+        _header_class(TRUE, FALSE),
+        _header_class(I32) + b"[\x80-\xff]{0,3}+[\0-\x7f]",
+        _header_class(BINARY) + b"(?:%s)" % SHORT_STRINGS,
+        _header_class(I64) + b"[\x80-\xff]{0,8}+[\0-\x7f]",
+        _header_class(DOUBLE) + b".{8}",
+        _header_class(I16) + b"[\x80-\xff]?+[\0-\x7f]",
+        _header_class(BYTE) + b".",
+        _header_class(UUID) + b".{16}",
     ))
     + b")*+"
 )  # fmt: skip
 
 
-def varint(frame: bytes, at: int, bits: int) -> tuple[int, int]:
-    """An unsigned number of at most so many bits, and where it ends."""
+def read_varint(frame: bytes, offset: int, bits: int) -> tuple[int, int]:
+    """Return an unsigned varint of at most `bits` bits, and the offset after it. Raises MalformedMessage."""
     size = len(frame)
-    if at < size and frame[at] < 0x80:
-        return frame[at], at + 1
+    if offset < size and frame[offset] < 0x80:
+        return frame[offset], offset + 1
     value = shift = 0
     while True:
-        if at >= size:
+        if offset >= size:
             raise MalformedMessage("a number that ends past its frame")
-        byte = frame[at]
-        at += 1
+        byte = frame[offset]
+        offset += 1
         value |= (byte & 0x7F) << shift
         if byte < 0x80:
             break
@@ -68,16 +78,16 @@
             raise MalformedMessage(f"a number of more than {bits} bits")
     if value >> bits:
         raise MalformedMessage(f"a number of more than {bits} bits")
-    return value, at
+    return value, offset
 
 
-def zigzag(value: int) -> int:
-    """The signed number that stands for an unsigned one."""
+def decode_zigzag(value: int) -> int:
+    """Return the signed integer that a zigzag value encodes."""
     return (value >> 1) ^ -(value & 1)
 
 
-def put_varint(value: int) -> bytes:
-    """The bytes of an unsigned number."""
+def write_varint(value: int) -> bytes:
+    """Encode an unsigned integer as a varint."""
     if value < 0x80:
         return bytes((value,))
     if value < 0x4000:
@@ -92,164 +102,175 @@
     return bytes(out)
 
 
-def put_zigzag(value: int) -> bytes:
-    """The bytes of a signed number, of any width: the sign goes to the lowest bit."""
-    return put_varint(value << 1 if value >= 0 else (-value << 1) - 1)
+def write_zigzag(value: int) -> bytes:
+    """Encode a signed integer of any width as a zigzag varint."""
+    return write_varint(value << 1 if value >= 0 else (-value << 1) - 1)
 
 
 def read_header(frame: bytes) -> MessageHeader:
     if len(frame) < 4:
         raise MalformedMessage("a message that ends in its header")
-    if frame[0] != PROTOCOL:
+    if frame[0] != PROTOCOL_ID:
         raise MalformedMessage("no compact message")
-    version, kind = frame[1] & 0x1F, frame[1] >> 5
+    version, message_type = frame[1] & 0x1F, frame[1] >> 5
     if version != VERSION:
         raise MalformedMessage(f"version {version} of the compact encoding is not known")
-    if not 1 <= kind <= 4:
-        raise MalformedMessage(f"a message of type {kind}")
-    unsigned, seqid_end = varint(frame, 2, 32)
-    length, at = varint(frame, seqid_end, 32)
-    if length > MAX_NAME or at + length > len(frame):
+    if not 1 <= message_type <= 4:
+        raise MalformedMessage(f"a message of type {message_type}")
+    unsigned, seqid_end = read_varint(frame, 2, 32)
+    length, offset = read_varint(frame, seqid_end, 32)
+    if length > MAX_NAME_BYTES or offset + length > len(frame):
         raise MalformedMessage("the method's name is too long")
     seqid = unsigned - (1 << 32) if unsigned >> 31 else unsigned
-    return MessageHeader(Encoding.COMPACT, MessageType(kind), frame[at : at + length], seqid, 2, seqid_end, at + length)
+    return MessageHeader(
+        Encoding.COMPACT,
+        MessageType(message_type),
+        frame[offset : offset + length],
+        seqid,
+        2,
+        seqid_end,
+        offset + length,
+    )
 
 
-def write_header(kind: int, name: bytes, seqid: int) -> bytes:
-    return bytes((PROTOCOL, kind << 5 | VERSION)) + write_seqid(seqid) + put_varint(len(name)) + name
+def write_header(message_type: int, name: bytes, seqid: int) -> bytes:
+    return bytes((PROTOCOL_ID, message_type << 5 | VERSION)) + write_seqid(seqid) + write_varint(len(name)) + name
 
 
 def write_seqid(seqid: int) -> bytes:
-    """Not in zigzag: the 32 bits as they are."""
-    return put_varint(seqid & 0xFFFFFFFF)
+    """Encode a sequence id as a varint of its 32 bits, without zigzag."""
+    return write_varint(seqid & 0xFFFFFFFF)
+
 
+def skip(frame: bytes, offset: int, type_id: int, depth: int = 0) -> int:
+    """Return the offset after a value of this type, in a container or a field. Raises MalformedMessage.
 
-def skip(frame: bytes, at: int, kind: int, depth: int = 0) -> int:
-    """Where a value of this type ends, as an element of a container or, but for bools, of a field."""
-    fixed = FIXED.get(kind)
+    For bools it is valid only in a container: a bool field has no value bytes.
+    """
+    fixed = FIXED_SIZES.get(type_id)
     if fixed is not None:
-        if at + fixed > len(frame):
+        if offset + fixed > len(frame):
             raise MalformedMessage("a value that ends past its frame")
-        return at + fixed
-    if bits := VARINTS.get(kind):
-        return varint(frame, at, bits)[1]
-    if kind == BINARY:
-        return string_end(frame, at)[1]
+        return offset + fixed
+    if bits := INTEGER_BITS.get(type_id):
+        return read_varint(frame, offset, bits)[1]
+    if type_id == BINARY:
+        return string_bounds(frame, offset)[1]
     if depth >= MAX_DEPTH:
         raise MalformedMessage(f"more than {MAX_DEPTH} levels within each other")
-    if kind == STRUCT:
-        return skip_struct(frame, at, depth + 1)
-    if kind in (LIST, SET):
-        element, count, at = container(frame, at)
-        if fixed := FIXED.get(element):
-            return at + fixed * count  # `container` has seen that so much is there
+    if type_id == STRUCT:
+        return skip_struct(frame, offset, depth + 1)
+    if type_id in (LIST, SET):
+        element, count, offset = list_header(frame, offset)
+        if fixed := FIXED_SIZES.get(element):
+            return offset + fixed * count  # `list_header` has checked that the frame has these bytes
         if element == STRUCT and count:
-            return _skip_structs(frame, at, count, depth + 2)
+            return _skip_structs(frame, offset, count, depth + 2)
         for _ in range(count):
-            at = skip(frame, at, element, depth + 1)
-        return at
-    if kind == MAP:
-        key, value, count, at = pairs(frame, at)
+            offset = skip(frame, offset, element, depth + 1)
+        return offset
+    if type_id == MAP:
+        key, value, count, offset = map_header(frame, offset)
         for _ in range(count):
-            at = skip(frame, skip(frame, at, key, depth + 1), value, depth + 1)
-        return at
-    raise MalformedMessage(f"type {kind} is not known")
+            offset = skip(frame, skip(frame, offset, key, depth + 1), value, depth + 1)
+        return offset
+    raise MalformedMessage(f"type {type_id} is not known")
 
 
-def _skip_structs(frame: bytes, at: int, count: int, depth: int) -> int:
-    """Where so many structs end; `depth` is that within them."""
+def _skip_structs(frame: bytes, offset: int, count: int, depth: int) -> int:
+    """Return the offset after `count` structs; `depth` is the nesting depth inside them."""
     if depth > MAX_DEPTH:
         raise MalformedMessage(f"more than {MAX_DEPTH} levels within each other")
     while count:
-        count, at = PATTERNS.structs(frame, at, count)
+        count, offset = PATTERNS.structs(frame, offset, count)
         for _ in range(min(count, 8)):
-            at = skip_struct(frame, at, depth)
+            offset = skip_struct(frame, offset, depth)
             count -= 1
-    return at
+    return offset
 
 
-def skip_struct(frame: bytes, at: int, depth: int = 0) -> int:
-    """Where a struct ends, its stop included."""
-    run_of = PATTERNS.run
+def skip_struct(frame: bytes, offset: int, depth: int = 0) -> int:
+    """Return the offset after a struct and its stop field. Raises MalformedMessage."""
+    match_run = PATTERNS.run
     while True:
-        run = run_of(frame, at)
+        run = match_run(frame, offset)
         if run is not None:
-            at = run.end()
-        kind, _, at = field(frame, at, 0)  # which field it is matters to nobody here
-        if not kind:
-            return at
-        if kind > FALSE:
-            at = skip(frame, at, kind, depth)
+            offset = run.end()
+        type_id, _, offset = field_header(frame, offset, 0)  # the field id does not matter here
+        if not type_id:
+            return offset
+        if type_id > FALSE:
+            offset = skip(frame, offset, type_id, depth)
 
 
-def field(frame: bytes, at: int, last: int) -> tuple[int, int, int]:
-    """The type of the field at `at`, its id, and where its value begins; type 0 is the struct's stop.
+def field_header(frame: bytes, offset: int, last_id: int) -> tuple[int, int, int]:
+    """Return a field's type, its id and the offset of its value; type 0 is the stop field.
 
-    `last` is the id of the field before it in the same struct, 0 for the first: ids are told as steps.
+    `last_id` is the id of the field before it in the same struct, 0 for the first: ids are encoded as deltas.
     """
-    if at >= len(frame):
+    if offset >= len(frame):
         raise MalformedMessage("a struct without its stop")
-    byte = frame[at]
-    at += 1
-    kind, step = byte & 0x0F, byte >> 4
-    if not kind:
-        if step:
+    byte = frame[offset]
+    offset += 1
+    type_id, delta = byte & 0x0F, byte >> 4
+    if not type_id:
+        if delta:
             raise MalformedMessage("a stop that steps to a field")
-        return 0, 0, at
-    if step:
-        number = last + step
+        return 0, 0, offset
+    if delta:
+        field_id = last_id + delta
     else:
-        unsigned, at = varint(frame, at, 16)
-        number = zigzag(unsigned)
-    if number > 0x7FFF:
+        unsigned, offset = read_varint(frame, offset, 16)
+        field_id = decode_zigzag(unsigned)
+    if field_id > 0x7FFF:
         raise MalformedMessage("a field id of more than 16 bits")
-    return kind, number, at
+    return type_id, field_id, offset
 
 
-def string_end(frame: bytes, at: int) -> tuple[int, int]:
-    """Where a string's bytes begin and end."""
-    length, begin = varint(frame, at, 32)
+def string_bounds(frame: bytes, offset: int) -> tuple[int, int]:
+    """Return the offsets where a string's bytes begin and end."""
+    length, begin = read_varint(frame, offset, 32)
     if length > len(frame) - begin:
         raise MalformedMessage("a string that ends past its frame")
     return begin, begin + length
 
 
-def container(frame: bytes, at: int) -> tuple[int, int, int]:
-    """The element's type of a list or set, how many there are, and where they begin.
+def list_header(frame: bytes, offset: int) -> tuple[int, int, int]:
+    """Return the element type of a list or set, the count of elements and the offset of the first one.
 
-    The claim is held against what is left of the frame, so no loop over it outlasts the bytes that came.
+    The count is checked against the rest of the frame, so that the cost of a loop over it is bounded by the frame.
     """
-    if at >= len(frame):
+    if offset >= len(frame):
         raise MalformedMessage("a container that ends in its header")
-    element, count = frame[at] & 0x0F, frame[at] >> 4
-    at += 1
+    element, count = frame[offset] & 0x0F, frame[offset] >> 4
+    offset += 1
     if count == 15:
-        count, at = varint(frame, at, 32)
-    _check_claim(count, LEAST.get(element, 0), len(frame) - at)
-    return element, count, at
+        count, offset = read_varint(frame, offset, 32)
+    _check_count(count, MIN_SIZES.get(element, 0), len(frame) - offset)
+    return element, count, offset
 
 
-def pairs(frame: bytes, at: int) -> tuple[int, int, int, int]:
-    """The types of a map's keys and values, how many pairs there are, and where they begin.
+def map_header(frame: bytes, offset: int) -> tuple[int, int, int, int]:
+    """Return the types of a map's keys and values, the count of pairs and the offset of the first one.
 
-    An empty map is one byte, and tells no types: both are 0.
+    An empty map is one byte without types: both are returned as 0.
     """
-    count, at = varint(frame, at, 32)
+    count, offset = read_varint(frame, offset, 32)
     if not count:
-        return 0, 0, 0, at
-    if at >= len(frame):
+        return 0, 0, 0, offset
+    if offset >= len(frame):
         raise MalformedMessage("a container that ends in its header")
-    key, value = frame[at] >> 4, frame[at] & 0x0F
-    at += 1
-    known = key in LEAST and value in LEAST
-    _check_claim(count, LEAST[key] + LEAST[value] if known else 0, len(frame) - at)
-    return key, value, count, at
+    key, value = frame[offset] >> 4, frame[offset] & 0x0F
+    offset += 1
+    known = key in MIN_SIZES and value in MIN_SIZES
+    _check_count(count, MIN_SIZES[key] + MIN_SIZES[value] if known else 0, len(frame) - offset)
+    return key, value, count, offset
 
 
-def _check_claim(count: int, least: int, left: int) -> None:
+def _check_count(count: int, min_size: int, bytes_left: int) -> None:
     if not count:
         return
-    if not least:
+    if not min_size:
         raise MalformedMessage("a container of a type that is not known")
-    if count * least > left:
+    if count * min_size > bytes_left:
         raise MalformedMessage("a container that claims more than its frame holds")
--- a/eiderhub/protocols/thrift/definitions.py
+++ b/eiderhub/protocols/thrift/definitions.py
@@ -1,4 +1,4 @@
-"""What both encodings of Thrift share: type numbers, message kinds, bounds, and how bytes are refused.
+"""Definitions that both encodings of Thrift share: type ids, message types, exception types, limits and errors.
 
 Sources: "Thrift Binary protocol encoding" and "Thrift Compact protocol encoding" of the Apache Thrift specification.
 """
@@ -8,9 +8,9 @@
 from enum import IntEnum
 from typing import Final, NamedTuple
 
-MAX_FRAME = 64 * 1024 + 1024  # bytes of one frame: HTTP's bound on a body, and a message header beside it
-MAX_DEPTH = 64  # structs and containers within each other: Thrift's own libraries stop at 64
-MAX_NAME = 256  # bytes of a method's name, its service before it
+MAX_FRAME_BYTES = 64 * 1024 + 1024  # HTTP's limit on a body, plus a message header
+MAX_DEPTH = 64  # of nested structs and containers; the Apache libraries have the same limit
+MAX_NAME_BYTES = 256  # of a method name, including the service name before it
 
 
 class Encoding(IntEnum):
@@ -19,7 +19,7 @@
 
 
 class MessageType(IntEnum):
-    """The type of a message."""
+    """Message types, as numbered on the wire."""
 
     CALL = 1
     REPLY = 2
@@ -28,7 +28,7 @@
 
 
 class TType:
-    """Types as the binary encoding numbers them. Plain numbers, for they are read off the wire by the dozen."""
+    """Type ids of the binary encoding. Plain integers rather than an enum, because decoding is a hot path."""
 
     STOP: Final = 0
     BOOL: Final = 2
@@ -46,23 +46,23 @@
 
 
 class MalformedMessage(ValueError):
-    """Bytes that are no Thrift, or more than the bounds allow; the text says what was wrong."""
+    """Bytes that are not valid Thrift or exceed a limit. The text says what is wrong."""
 
 
 class MessageHeader(NamedTuple):
-    """A message's header: what is called, and where its struct begins."""
+    """The header of a message. Offsets count from the beginning of the message."""
 
     encoding: Encoding
     message_type: MessageType
-    name: bytes  # as sent: `method`, or `Service:method` where services share a connection
+    name: bytes  # as sent: `method`, or `Service:method` with multiplexed services
     seqid: int  # signed, 32 bits
-    seqid_at: int  # where its bytes begin
+    seqid_start: int  # offset of the sequence id
     seqid_end: int
-    body_at: int  # where the struct of arguments, or of the result, begins
+    body_start: int  # offset of the struct of arguments or of the result
 
 
 class ExceptionType(IntEnum):
-    """The types of TApplicationException, as the Apache libraries number them."""
+    """Types of TApplicationException, as numbered by the Apache libraries."""
 
     UNKNOWN = 0
     UNKNOWN_METHOD = 1
--- a/eiderhub/protocols/thrift/options.py
+++ b/eiderhub/protocols/thrift/options.py
@@ -1,4 +1,7 @@
-"""The operator's table `[thrift]`: a port for framed Thrift, and where its calls tell what HTTP's headers tell."""
+"""The table `[thrift]` of the operator's file: the listener, and which fields of calls replace HTTP's headers.
+
+The checks compare the table with the sidecar's JSON file and with the routes.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 from eiderhub.interface import Effect
 from eiderhub.protocols.thrift import field_paths
 from eiderhub.protocols.thrift.admission import COST, DEADLINE, KEY, REQUEST_ID, TENANT, ListenerOptions
-from eiderhub.protocols.thrift.definitions import MAX_FRAME, MAX_NAME, Encoding
+from eiderhub.protocols.thrift.definitions import MAX_FRAME_BYTES, MAX_NAME_BYTES, Encoding
 from eiderhub.routing.options import EFFECTS, WORDS, route_of
 from eiderhub.routing.plan import FIRST_PART
 from eiderhub.routing.table import Table as Compiled
@@ -43,42 +46,45 @@
 
 @dataclass(frozen=True)
 class FieldPath:
-    words: str = 'field ids with dots between them, such as "1.3": field 3 of argument 1'
+    words: str = 'field ids separated by dots, such as "1.3" for field 3 of argument 1'
 
     def read(self, value: object, spot: Spot) -> Any:
         if not isinstance(value, str):
             return wrong(spot, value, self.words)
         try:
-            return field_paths.parse(value)
+            return field_paths.parse_path(value)
         except ValueError as error:
-            spot.error("field-path", str(error), "No call could have it", f"Write {self.words}")
+            spot.error("field-path", str(error), "No call can have such a field", f"Write {self.words}")
             return BAD
 
 
-CALL_NAME = rf"[^\x00-\x1f]{{1,{MAX_NAME}}}"
+CALL_NAME = rf"[^\x00-\x1f]{{1,{MAX_NAME_BYTES}}}"
 TABLES: dict[str, Kind] = {
     "thrift": Table(
         (
-            Key("listen", SocketAddress(), "where callers that speak framed Thrift connect"),
-            Key("endpoints", Choice(ENCODINGS), "the encoding that endpoints speak; `stated`: by their label `thrift`",
+            Key("listen", SocketAddress(), "address and port for callers that speak framed Thrift"),
+            Key("endpoints", Choice(ENCODINGS), "encoding of endpoints; `stated`: from their label `thrift`",
                 AS_ASKED),
-            Key("frame", Size(64, 1 << 24), "the largest frame, either way", MAX_FRAME),
-            Key("answers", Choice((IN_ORDER, AS_READY)), "the order in which one caller's answers leave", IN_ORDER),
-            Key("calls", Int(1, 1024), "calls that one connection may have out", 16),
-            Key("idle", Duration(1_000_000, 24 * HOUR_US), "how long a caller may ask for nothing", 300_000_000),
-            Key("tenant", Text(r".{1,128}", "a tenant's name"), "the tenant of calls that tell none", None),
-            Key("deadline", Duration(100_000, HOUR_US), "how long callers wait, where no field tells", 0),
-            Key("fields", Named(FieldPath(), "|".join(FIELDS), len(FIELDS)), "where calls tell these", {}),
-            Key("shedding", Several(Int(0, 0x7FFFFFFF)), "types of exceptions by which endpoints turn calls away unrun",
+            Key("frame", Size(64, 1 << 24), "maximum size of a frame, of calls and of replies", MAX_FRAME_BYTES),
+            Key("answers", Choice((IN_ORDER, AS_READY)), "order of the responses on a caller's connection", IN_ORDER),
+            Key("calls", Int(1, 1024), "maximum of pending calls per connection", 16),
+            Key("idle", Duration(1_000_000, 24 * HOUR_US), "how long a caller's connection may be idle", 300_000_000),
+            Key("tenant", Text(r".{1,128}", "a tenant's name"), "tenant of calls without a tenant field", None),
+            Key("deadline", Duration(100_000, HOUR_US), "deadline of calls without a deadline field", 0),
+            Key("fields", Named(FieldPath(), "|".join(FIELDS), len(FIELDS)),
+                "path of the field that holds each of these values", {}),
+            Key("shedding", Several(Int(0, 0x7FFFFFFF)),
+                "exception types by which endpoints shed calls without running them",
                 ()),
-            Key("methods", Named(Choice(tuple(EFFECTS)), CALL_NAME), "what a repeat of each does, to be checked", {}),
+            Key("methods", Named(Choice(tuple(EFFECTS)), CALL_NAME),
+                "effect of a repeated call of each method, for checks only", {}),
         )
     ),
 }  # fmt: skip
 
 
 def listener(tables: dict[str, Any]) -> ListenerOptions | None:
-    """The port that a checked operator's file asks for."""
+    """Return the listener that a checked operator's file configures, None if it has none."""
     row = tables.get("thrift")
     if row is None:
         return None
@@ -109,9 +115,11 @@
         return
     spot = pair.operator / "thrift"
     try:
-        field_paths.tree(row["fields"].items())
+        field_paths.build_tree(row["fields"].items())
     except ValueError as error:
-        (spot / "fields").error("field-path", str(error), "No sidecar starts from it", "Give each its own field")
+        (spot / "fields").error(
+            "field-path", str(error), "The sidecar can't start with it", "Give each value its own field"
+        )
     if not pair.document:
         return
     _check_listen(pair, row, spot)
@@ -124,12 +132,15 @@
     own = pair.document.get("listen")
     if port and own == f"{host}:{port}":
         (spot / "listen").error(
-            "address", f"{own} is where HTTP is served", "One of the two ports could not be opened", "Name another port"
+            "address",
+            f"{own} is the address for HTTP",
+            "One of the two listeners could not bind",
+            "Choose another port",
         )
     if pair.tables.get("limits", {}).get("listen") == "loopback" and not ip_address(host).is_loopback:
         (spot / "listen").error(
             "listen",
-            f"{host} is no loopback address, and limits.listen asks for one",
+            f"{host} is not a loopback address, which limits.listen requires",
             "Other machines could reach the sidecar",
             'Listen on 127.0.0.1, or write limits.listen = "any"',
         )
@@ -139,69 +150,76 @@
     tenants = {t["Name"] for t in pair.settings.get("Parties") or [] if "Name" in t}
     if row["tenant"] is not None and row["tenant"] not in tenants:
         (spot / "tenant").error(
-            "unknown-tenant", f"there is no tenant {row['tenant']!r}", "Its calls would have no budget", "Name another"
+            "unknown-tenant",
+            f"there is no tenant {row['tenant']!r}",
+            "Its calls would have no budget",
+            "Name an existing tenant",
         )
     if tenants and row["tenant"] is None and TENANT not in row["fields"]:
         spot.error(
             "tenant",
-            "no call could tell its tenant",
-            "Every call would be turned away",
-            'Write tenant = "NAME", or fields.tenant with the path of the field that tells it',
+            "calls have no tenant, as neither a default nor a field is set",
+            "Every call would be rejected",
+            'Write tenant = "NAME", or fields.tenant with the path of the field that holds it',
         )
 
 
 def _check_calls(pair: Pair, row: dict[str, Any], spot: Spot) -> None:
-    """Rule 2: no method may come to a class that is repeated more freely than the method bears."""
+    """Check that no method is routed to a class whose calls are repeated more freely than the method allows.
+
+    No effect may run twice.
+    """
     effects = {c["Name"]: c["Effect"] for c in pair.categories if "Name" in c and "Effect" in c}
     routes = [route_of(found) for _, found in pair.tables.get("routes", [])]
     try:
         table = Compiled(routes)
     except TableError:
-        return  # told where routes are checked
-    default = pair.tables.get("routing", {}).get("default", FIRST_PART) == FIRST_PART
-    for name, word in row["methods"].items():
-        grade = _grade_of(name, table, effects, default)
-        if grade is None:
+        return  # reported by the check of routes
+    use_method_name = pair.tables.get("routing", {}).get("default", FIRST_PART) == FIRST_PART
+    for name, effect in row["methods"].items():
+        class_name = _class_name_of(name, table, effects, use_method_name)
+        if class_name is None:
             (spot / "methods" / name).error(
-                "unreachable", "no route takes the method", "Its calls would be turned away", "Add a route for it"
+                "unreachable", "no route matches the method", "Its calls would be rejected", "Add a route for it"
             )
-        elif STRICTNESS[effects[grade]] < STRICTNESS[EFFECTS[word].value]:
+        elif STRICTNESS[effects[class_name]] < STRICTNESS[EFFECTS[effect].value]:
             (spot / "methods" / name).error(
                 "unsafe-method",
-                f"the method is declared {word!r}, and its calls are of the class {grade!r}, which is "
-                f"{WORDS[effects[grade]]!r}",
-                "One that may have run would be sent again",
-                f"Route it to a class that is {word!r}",
+                f"the method is declared {effect!r}, but its calls are of the class {class_name!r}, which is "
+                f"{WORDS[effects[class_name]]!r}",
+                "A call that may have run would be sent again",
+                f"Route it to a class that is {effect!r}",
             )
     _check_disguises(pair, effects)
     if Effect.DEDUPLICATED.value in effects.values() and KEY not in row["fields"]:
         spot.warn(
             "key",
-            "no field tells the key of calls",
-            "Calls of keyed classes are sent on without one being seen; endpoints drop repeats by their own means",
-            "Name fields.key where calls carry one",
+            "no field is set for the idempotency key of calls",
+            "Calls of deduplicated classes are forwarded unchecked; endpoints must drop repeated calls themselves",
+            "Set fields.key if calls carry a key",
         )
 
 
-def _grade_of(name: str, table: Compiled, effects: dict[str, str], default: bool) -> str | None:
+def _class_name_of(name: str, table: Compiled, effects: dict[str, str], use_method_name: bool) -> str | None:
+    """Return the class of a method's calls by the routes; without a match, the method's name if that is a class."""
     service, _, method = name.rpartition(":")
     asked = Asked("thrift", segments=(method.encode(),), service=service or None, call=method)
     route = table.find(asked)
     if route is not None:
         return route.grade if route.grade in effects else None
-    return method if default and method in effects else None
+    return method if use_method_name and method in effects else None
 
 
 def _check_disguises(pair: Pair, effects: dict[str, str]) -> None:
-    """A route by a method's name must not carry off what the business has declared to be stricter."""
-    for placed, row in pair.tables.get("routes", []):
-        known = declared().get(fold(row["call"] or ""))
-        if known is None or row["class"] not in effects:
+    """Check that no route by method name gives a class less strict than the effect declared for that name."""
+    for route_spot, row in pair.tables.get("routes", []):
+        declaration = declared().get(fold(row["call"] or ""))
+        if declaration is None or row["class"] not in effects:
             continue
-        if STRICTNESS[effects[row["class"]]] < STRICTNESS[known.effect.value]:
-            (placed / "call").error(
+        if STRICTNESS[effects[row["class"]]] < STRICTNESS[declaration.effect.value]:
+            (route_spot / "call").error(
                 "disguise",
                 f"calls of {row['call']!r} would be of the class {row['class']!r}, which is repeated more freely",
                 "A request that must not be repeated would be sent again",
-                "Name a class that is as strict",
+                "Choose a class that is as strict",
             )
--- a/tests/thrift/peers.py
+++ b/tests/thrift/peers.py
@@ -42,7 +42,7 @@
         self.send(apache(self.header.encoding, result, name, self.header.seqid, kind=2))
 
     def raises(self, kind: int, text: str = "no") -> None:
-        self.send(messages.exception(self.header.encoding, self.header.name, self.header.seqid, kind, text))
+        self.send(messages.write_exception(self.header.encoding, self.header.name, self.header.seqid, kind, text))
 
 
 class ThriftFake(FakeServer):
--- a/tests/thrift/test_codec.py
+++ b/tests/thrift/test_codec.py
@@ -46,7 +46,7 @@
     message = apache(encoding, struct, "Service:ask", seqid)
     found = header(message, encoding)
     assert (found.message_type, found.name, found.seqid) == (MessageType.CALL, b"Service:ask", seqid)
-    assert SKIPS[encoding](message, found.body_at) == len(message)
+    assert SKIPS[encoding](message, found.body_start) == len(message)
     assert with_seqid(message, found, other) == apache(encoding, struct, "Service:ask", other)
 
 
@@ -61,8 +61,8 @@
         ],
     )
     message = apache(encoding, call)
-    wanted = field_paths.tree([(p, field_paths.parse(p)) for p in ("1.3", "1.300", "1.7", "1.8", "9.1")])
-    found = field_paths.read(message, header(message, encoding), wanted)
+    wanted = field_paths.build_tree([(p, field_paths.parse_path(p)) for p in ("1.3", "1.300", "1.7", "1.8", "9.1")])
+    found = field_paths.read_values(message, header(message, encoding), wanted)
     assert found == {"1.3": field, "1.300": key, "1.7": True}
 
 
@@ -79,7 +79,7 @@
 ) -> None:
     message = apache(encoding, (TType.STRUCT, fields))
     with pytest.raises(MalformedMessage, match=why):
-        field_paths.read(message, header(message, encoding), field_paths.tree([("key", (1, 3))]))
+        field_paths.read_values(message, header(message, encoding), field_paths.build_tree([("key", (1, 3))]))
 
 
 @pytest.mark.parametrize("encoding", BOTH)
@@ -88,19 +88,19 @@
 )
 def test_a_path_is_absent_from_arguments_of_another_shape(encoding: Encoding, field: Value) -> None:
     message = apache(encoding, (TType.STRUCT, [(1, field)]))
-    assert field_paths.read(message, header(message, encoding), field_paths.tree([("key", (1, 3))])) == {}
+    assert field_paths.read_values(message, header(message, encoding), field_paths.build_tree([("key", (1, 3))])) == {}
 
 
 @pytest.mark.parametrize("text", ["", "1.", "a", "1.x", "40000", "1.2.3.4.5.6.7.8.9", "²"])
 def test_what_is_no_path_is_refused_with_its_text(text: str) -> None:
     with pytest.raises(ValueError, match=r"path|deep"):
-        field_paths.parse(text)
+        field_paths.parse_path(text)
 
 
 def test_paths_that_cross_are_refused() -> None:
     for rows in ([("a", (1,)), ("b", (1, 2))], [("a", (1, 2)), ("b", (1,))], [("a", (1,)), ("b", (1,))]):
         with pytest.raises(ValueError, match="field"):
-            field_paths.tree(rows)
+            field_paths.build_tree(rows)
 
 
 @given(st.binary(max_size=300), st.sampled_from(BOTH), st.booleans())
@@ -109,10 +109,10 @@
     message = start + noise
     try:
         found = messages.read_header(message, encoding)
-        assert found.body_at <= len(message)
-        SKIPS[encoding](message, found.body_at)
+        assert found.body_start <= len(message)
+        SKIPS[encoding](message, found.body_start)
         convert(message, found, Encoding(1 - encoding), 1)
-        field_paths.read(message, found, field_paths.tree([("key", (1, 3))]))
+        field_paths.read_values(message, found, field_paths.build_tree([("key", (1, 3))]))
         messages.read_exception(message, found)
     except MalformedMessage:
         pass
@@ -134,12 +134,12 @@
 @pytest.mark.parametrize("encoding", BOTH)
 def test_structs_within_each_other_have_a_bound(encoding: Encoding) -> None:
     fine, deep = nested(encoding, MAX_DEPTH - 1), nested(encoding, 10_000)
-    assert SKIPS[encoding](fine, header(fine, encoding).body_at) == len(fine)
+    assert SKIPS[encoding](fine, header(fine, encoding).body_start) == len(fine)
     found = header(deep, encoding)
     for walk in (
-        lambda: SKIPS[encoding](deep, found.body_at),
+        lambda: SKIPS[encoding](deep, found.body_start),
         lambda: convert(deep, found, Encoding(1 - encoding), 1),
-        lambda: field_paths.read(deep, found, field_paths.tree([("key", (2,))])),
+        lambda: field_paths.read_values(deep, found, field_paths.build_tree([("key", (2,))])),
     ):
         with pytest.raises(MalformedMessage, match="levels"):
             walk()
@@ -168,7 +168,7 @@
     message = apache(encoding, (TType.STRUCT, []))[:-1] + body
     found = header(message, encoding)
     with pytest.raises(MalformedMessage, match=why):
-        SKIPS[encoding](message, found.body_at)
+        SKIPS[encoding](message, found.body_start)
     with pytest.raises(MalformedMessage):
         convert(message, found, Encoding(1 - encoding), 1)
 
@@ -176,7 +176,7 @@
 def test_old_clients_that_send_no_version_are_read() -> None:
     message = b"\0\0\0\3ask" + b"\1" + b"\0\0\0\x09" + b"\0"
     found = header(message, Encoding.BINARY)
-    assert (found.message_type, found.name, found.seqid, found.body_at) == (MessageType.CALL, b"ask", 9, 12)
+    assert (found.message_type, found.name, found.seqid, found.body_start) == (MessageType.CALL, b"ask", 9, 12)
     assert with_seqid(message, found, 1) == b"\0\0\0\3ask\1\0\0\0\1\0"
     strict = apache(Encoding.COMPACT, (TType.STRUCT, []), "ask", 9)
     assert convert(message, found, Encoding.COMPACT, 9) == strict
@@ -209,7 +209,7 @@
 
     from tests.thrift.values import PROTOCOLS
 
-    written = messages.exception(encoding, b"ask", -3, 6, "no endpoint answered é")
+    written = messages.write_exception(encoding, b"ask", -3, 6, "no endpoint answered é")
     protocol = PROTOCOLS[encoding](TMemoryBuffer(written))
     assert protocol.readMessageBegin() == ("ask", MessageType.EXCEPTION, -3)
     error = TApplicationException()
@@ -224,15 +224,15 @@
 @given(st.lists(st.binary(min_size=1, max_size=50), max_size=8), st.data())
 def test_frames_come_out_however_the_stream_is_cut(wanted: list[bytes], data: st.DataObject) -> None:
     stream = b"".join(map(framed, wanted))
-    reader = FrameReader(most=50)
+    reader = FrameReader(max_frame_bytes=50)
     found = []
     while stream:
         step = data.draw(st.integers(1, len(stream)))
         found += reader.feed(stream[:step])
         stream = stream[step:]
-        assert reader.held <= 54
+        assert reader.buffered_bytes <= 54
     assert found == wanted
-    assert not reader.partial
+    assert not reader.is_partial
 
 
 @pytest.mark.parametrize(
--- a/tests/thrift/test_hard.py
+++ b/tests/thrift/test_hard.py
@@ -10,7 +10,7 @@
 
 from eiderhub.protocols.thrift import messages
 from eiderhub.protocols.thrift.admission import ListenerOptions
-from eiderhub.protocols.thrift.definitions import MAX_FRAME, Encoding, ExceptionType, TType
+from eiderhub.protocols.thrift.definitions import MAX_FRAME_BYTES, Encoding, ExceptionType, TType
 from eiderhub.protocols.thrift.framing import framed
 from eiderhub.protocols.thrift.replies import LOAD_SHEDDING
 from eiderhub.sidecar import callers
@@ -51,7 +51,7 @@
         b"\0\0\0\0",
         b"\xff\xff\xff\xff",
         b"\x7f\xff\xff\xff",
-        (MAX_FRAME + 1).to_bytes(4, "big"),
+        (MAX_FRAME_BYTES + 1).to_bytes(4, "big"),
         b"GET / HTTP/1.1\r\nHost: a\r\n\r\n",
         b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03",
         b"\x80\x01\0\1\0\0\0\3pay\0\0\0\1\0",
@@ -172,7 +172,7 @@
             await asyncio.sleep(0.05)
             assert world.endpoints[0].received.empty()
             (caller,) = world.callers.connections
-            assert len(caller.out) == 4  # type: ignore[attr-defined]
+            assert len(caller.pending_calls) == 4  # type: ignore[attr-defined]
             assert 0 < world.host.budget.used < 1 << 19  # one read of the socket, and no more
             calls[0].reply()
             assert (await client.answer()).header.seqid == 1
@@ -270,7 +270,7 @@
     elif how == "noise":
         call.send(b"\1\2\3\4\5\6")
     elif how == "a frame too long":
-        call.writer.write((MAX_FRAME + 1).to_bytes(4, "big"))
+        call.writer.write((MAX_FRAME_BYTES + 1).to_bytes(4, "big"))
     elif how == "two replies":
         whole = framed(apache(encoding, result, name, seqid, kind=2))
         call.writer.write(whole + whole)
