--- a/tests/test_smuggling.py
+++ b/tests/test_smuggling.py
@@ -1,4 +1,4 @@
-"""Requests that a server could read as another one than the sidecar did: refused, and sent to nobody."""
+"""Request smuggling: requests that a server could read differently than the sidecar are rejected and not forwarded."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 from eiderhub.settings import parse_settings
 from tests.sidecar_support import SETUP, Sidecar, run
 
-OWN = "Host: a\r\nReq-Id: 1\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 2000\r\n"
-GET = "GET /look/a HTTP/1.1\r\n" + OWN
-POST = "POST /pay/a HTTP/1.1\r\n" + OWN + "Content-Length: 1\r\n"
+HEADERS = "Host: a\r\nReq-Id: 1\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 2000\r\n"
+GET = "GET /look/a HTTP/1.1\r\n" + HEADERS
+POST = "POST /pay/a HTTP/1.1\r\n" + HEADERS + "Content-Length: 1\r\n"
 KEYED = POST.replace("/pay", "/hold") + "Idempotency-Key: k\r\n"
 
 
-def at(target: str) -> str:
+def get_request(target: str) -> str:
     return GET.replace("/look/a", target) + "\r\n"
 
 
 CASES = [
-    ("dot segments", at("/look/../pay/a")),
-    ("escaped dot segments", at("/look/%2e%2E/pay/a")),
-    ("dot segments with parameters", at("/look/..;x/pay/a")),
-    ("escaped slash", at("/look/..%2fpay/a")),
-    ("escape of an escape", at("/look/%252e%252e/pay/a")),
-    ("backslash", at("/look\\..\\pay")),
-    ("escaped backslash", at("/look/%5c..%5cpay")),
-    ("double slash", at("/look//pay/a")),
-    ("NUL", at("/look/a%00/pay")),
-    ("broken escape", at("/look/%2/pay")),
-    ("fragment", at("/look/a#/../pay")),
-    ("absolute form", at("http://a/look/a")),
+    ("dot segments", get_request("/look/../pay/a")),
+    ("escaped dot segments", get_request("/look/%2e%2E/pay/a")),
+    ("dot segments with parameters", get_request("/look/..;x/pay/a")),
+    ("escaped slash", get_request("/look/..%2fpay/a")),
+    ("escape of an escape", get_request("/look/%252e%252e/pay/a")),
+    ("backslash", get_request("/look\\..\\pay")),
+    ("escaped backslash", get_request("/look/%5c..%5cpay")),
+    ("double slash", get_request("/look//pay/a")),
+    ("NUL", get_request("/look/a%00/pay")),
+    ("broken escape", get_request("/look/%2/pay")),
+    ("fragment", get_request("/look/a#/../pay")),
+    ("absolute form", get_request("http://a/look/a")),
     ("two hosts", GET + "Host: b\r\n\r\n"),
     ("two cookies", GET + "Cookie: key=1\r\nCookie: key=2\r\n\r\n"),
     ("a body on a GET", GET + "Content-Length: 1\r\n\r\nx"),
@@ -51,8 +51,8 @@
 
 
 @pytest.mark.parametrize("raw", [case[1] for case in CASES], ids=[case[0] for case in CASES])
-def test_what_has_two_readings_is_refused_and_reaches_nobody(raw: str) -> None:
-    """Seen: `GET /look/../pay/a` was served as `look`, and went on as it came to a server that may run `pay`."""
+def test_ambiguous_requests_are_rejected_and_reach_no_endpoint(raw: str) -> None:
+    """Guards against `GET /look/../pay/a` being admitted as `look` and forwarded to a server that may run `pay`."""
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -67,14 +67,14 @@
 
 
 @pytest.mark.parametrize("target", ["/look/a/", "/%6c%6Fok/a?x=../y", "/look/a.b/.c/50%25", "/look/a;v=1"])
-def test_what_has_one_reading_goes_on_as_it_came(target: str) -> None:
+def test_unambiguous_requests_are_forwarded_unchanged(target: str) -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = await sidecar.client()
-            client.writer.write(at(target).encode())
-            asked = await sidecar.endpoints[0].next()
-            assert asked.message.first == f"GET {target} HTTP/1.1"
-            asked.reply()
+            client.writer.write(get_request(target).encode())
+            received = await sidecar.endpoints[0].next()
+            assert received.message.first == f"GET {target} HTTP/1.1"
+            received.reply()
             assert (await client.answer()).status == 200
 
     run(test())
@@ -92,31 +92,31 @@
 )
 
 
-def test_routes_over_sockets() -> None:
-    """Class, pool, deadline and attempts of a route hold for what really goes out."""
+def test_routes_apply_to_requests_over_sockets() -> None:
+    """The class, pool, deadline and attempts of a route apply to the requests that are sent to endpoints."""
 
     async def test() -> None:
         async with Sidecar(endpoints=2, plan=PLAN) as sidecar:
             client = await sidecar.client()
-            client.writer.write(at("/Stock/%37/").encode())  # no endpoint lies in zone z, so nothing may leave
+            client.writer.write(get_request("/Stock/%37/").encode())  # no endpoint is in zone z, so nothing may be sent
             answer = await client.answer()
             assert (answer.status, sidecar.host.requests) == (503, {})
-            client.writer.write((at("/stock/7")[:-2] + "X-Kind: slow\r\n\r\n").encode())
-            asked = await sidecar.next()
-            assert asked.message.headers["x-kind"] == "slow"
-            asked.reply(500)
-            assert (await client.answer()).status == 503  # one attempt; a refusal, for the class is idempotent
-            again = await sidecar.client()
-            again.writer.write((at("/stock/7")[:-2] + "X-Kind: slow\r\nx-kind: fast\r\n\r\n").encode())
-            assert (await again.answer()).status == 400
+            client.writer.write((get_request("/stock/7")[:-2] + "X-Kind: slow\r\n\r\n").encode())
+            received = await sidecar.next()
+            assert received.message.headers["x-kind"] == "slow"
+            received.reply(500)
+            assert (await client.answer()).status == 503  # one attempt; a refusal, because the class is idempotent
+            other_client = await sidecar.client()
+            other_client.writer.write((get_request("/stock/7")[:-2] + "X-Kind: slow\r\nx-kind: fast\r\n\r\n").encode())
+            assert (await other_client.answer()).status == 400
             for path, status in (("/cart/a", 404), ("/stock", 404)):
-                again = await sidecar.client()
-                again.writer.write(at(path).encode())
-                assert (await again.answer()).status == status
+                other_client = await sidecar.client()
+                other_client.writer.write(get_request(path).encode())
+                assert (await other_client.answer()).status == status
             last = await sidecar.client()
             last.writer.write((POST.replace("/pay/a", "/cart/a") + "\r\nx").encode())
-            asked = await sidecar.next()
-            asked.reset()  # it may have run: nothing is promised, and nothing sent again
+            received = await sidecar.next()
+            received.reset()  # it may have run, so it fails and is not retried
             assert (await last.answer()).status == 502
             assert all(fake.received.empty() for fake in sidecar.endpoints)
 
@@ -124,33 +124,33 @@
 
 
 def test_the_deadline_of_a_route_reaches_the_endpoint() -> None:
-    tight = plan(SETTINGS, [Route("stock", "look", read_pattern("/stock/*"), deadline_us=300_000)], {})
+    tighter_plan = plan(SETTINGS, [Route("stock", "look", read_pattern("/stock/*"), deadline_us=300_000)], {})
 
     async def test() -> None:
-        async with Sidecar(plan=tight) as sidecar:
+        async with Sidecar(plan=tighter_plan) as sidecar:
             client = await sidecar.client()
-            client.writer.write(at("/stock/7").encode())
-            asked = await sidecar.next()
-            assert int(asked.message.headers["req-deadline-ms"]) < 300
+            client.writer.write(get_request("/stock/7").encode())
+            received = await sidecar.next()
+            assert int(received.message.headers["req-deadline-ms"]) < 300
             assert (await client.answer()).status in (503, 504)
 
     run(test())
 
 
-def test_new_routes_hold_for_new_requests_and_what_is_out_ends_under_the_old() -> None:
+def test_new_routes_apply_to_new_requests_and_pending_ones_keep_the_old() -> None:
     async def test() -> None:
         async with Sidecar(plan=PLAN) as sidecar:
             old, new = await sidecar.client(), await sidecar.client()
             old.writer.write((POST.replace("/pay/a", "/cart/a") + "\r\nx").encode())
-            asked = await sidecar.next()
+            received = await sidecar.next()
             changed = plan(SETTINGS, [Route("cart", "look", read_pattern("/cart/*"), attempts=2)], {})
             sidecar.host.reload(replace(sidecar.config, plan=changed))
-            new.writer.write(at("/cart/b").replace("Req-Id: 1", "Req-Id: 2").encode())
-            other = await sidecar.next()
-            assert other.message.first.startswith("GET /cart/b")
-            asked.reset()
+            new.writer.write(get_request("/cart/b").replace("Req-Id: 1", "Req-Id: 2").encode())
+            other_request = await sidecar.next()
+            assert other_request.message.first.startswith("GET /cart/b")
+            received.reset()
             assert (await old.answer()).status == 502
-            other.reply()
+            other_request.reply()
             assert (await new.answer()).status == 200
 
     run(test())
--- a/tests/thrift/peers.py
+++ b/tests/thrift/peers.py
@@ -1,4 +1,4 @@
-"""Scripted Thrift peers: an endpoint whose every call waits for the test's word, and a client that sends raw frames."""
+"""Scripted Thrift peers: an endpoint that answers when the test says so, and a client that sends raw frames."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 from eiderhub.protocols.thrift.definitions import Encoding, MessageHeader, TType
 from eiderhub.protocols.thrift.framing import framed
 from tests.sidecar_support import FakeServer, ReceivedRequest
-from tests.thrift.values import Value, apache
+from tests.thrift.values import Value, encode_with_apache
 
-SHED = 77  # the type by which these endpoints turn a call away
+SHED_TYPE = 77  # exception type by which these endpoints shed a call
 
 
 async def read_frame(reader: asyncio.StreamReader) -> bytes:
     return await reader.readexactly(int.from_bytes(await reader.readexactly(4), "big"))
 
 
-def told(value: bytes) -> Value:
-    """A struct with one text, as field 1."""
+def string_struct(value: bytes) -> Value:
+    """Return a struct whose field 1 is this string."""
     return TType.STRUCT, [(1, (TType.STRING, value))]
 
 
-class AskedThrift(ReceivedRequest):
-    """A call as an endpoint got it; the test says what comes back."""
+class ReceivedCall(ReceivedRequest):
+    """A call that an endpoint received. The test decides on the reply."""
 
     def __init__(self, frame: bytes, writer: asyncio.StreamWriter, connection: int) -> None:
         self.frame = frame
@@ -36,44 +36,46 @@
         self.writer.write(framed(message))
 
     def reply(self, status: int = 200, body: bytes = b"done", *headers: str) -> None:
-        """A result whose field 0 is this text."""
+        """Reply with a result whose field 0 is this string."""
         result = TType.STRUCT, [(0, (TType.STRING, body))]
         name = self.header.name.decode()
-        self.send(apache(self.header.encoding, result, name, self.header.seqid, kind=2))
+        self.send(encode_with_apache(self.header.encoding, result, name, self.header.seqid, message_type=2))
 
-    def raises(self, kind: int, text: str = "no") -> None:
-        self.send(messages.write_exception(self.header.encoding, self.header.name, self.header.seqid, kind, text))
+    def reply_exception(self, exception_type: int, text: str = "no") -> None:
+        self.send(
+            messages.write_exception(self.header.encoding, self.header.name, self.header.seqid, exception_type, text)
+        )
 
 
-class ThriftFake(FakeServer):
-    """A Thrift server whose every call waits for the test's word."""
+class FakeThriftServer(FakeServer):
+    """A Thrift server that replies to a call only when the test says so."""
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        number = self.connections
+        connection_index = self.connections
         self.connections += 1
         self.writers.append(writer)
         try:
             while True:
-                self.received.put_nowait(AskedThrift(await read_frame(reader), writer, number))
+                self.received.put_nowait(ReceivedCall(await read_frame(reader), writer, connection_index))
         except (asyncio.IncompleteReadError, ConnectionError):
-            self.ends.put_nowait(number)
+            self.ends.put_nowait(connection_index)
         finally:
             writer.close()
 
 
-class Answer:
-    """What a client got: a result's text, or an exception's type and text."""
+class ClientResponse:
+    """A response that a client received: a result, or an exception with its type and text."""
 
     def __init__(self, frame: bytes) -> None:
         self.frame = frame
         self.header = messages.read_header(frame, messages.detect_encoding(frame))
-        self.kind = self.text = None
+        self.exception_type = self.text = None
         if self.header.message_type == 3:
-            self.kind, self.text = messages.read_exception(frame, self.header)
+            self.exception_type, self.text = messages.read_exception(frame, self.header)
 
 
 class ThriftClient:
-    """A caller's connection, in one encoding."""
+    """Connection of a caller, in one encoding."""
 
     def __init__(self, encoding: Encoding, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.encoding = encoding
@@ -86,13 +88,19 @@
         return ThriftClient(encoding, *await asyncio.open_connection("127.0.0.1", port))
 
     def send(
-        self, name: str, deadline_ms: int = 2500, key: bytes = b"k1", kind: int = 1, seqid: int | None = None, **_: Any
+        self,
+        name: str,
+        deadline_ms: int = 2500,
+        key: bytes = b"k1",
+        message_type: int = 1,
+        seqid: int | None = None,
+        **_: Any,
     ) -> int:
         self.seqid += 1
-        number = self.seqid if seqid is None else seqid
+        call_seqid = self.seqid if seqid is None else seqid
         call = TType.STRUCT, [(1, (TType.STRING, key)), (2, (TType.I32, deadline_ms)), (3, (TType.BOOL, True))]
-        self.writer.write(framed(apache(self.encoding, call, name, number, kind)))
-        return number
+        self.writer.write(framed(encode_with_apache(self.encoding, call, name, call_seqid, message_type)))
+        return call_seqid
 
-    async def answer(self) -> Answer:
-        return Answer(await read_frame(self.reader))
+    async def answer(self) -> ClientResponse:
+        return ClientResponse(await read_frame(self.reader))
--- a/tests/thrift/test_libraries.py
+++ b/tests/thrift/test_libraries.py
@@ -1,4 +1,4 @@
-"""Clients and servers of independent libraries work through the sidecar unchanged, in every mix of encodings."""
+"""Clients and servers of independent libraries work through the sidecar, in every combination of encodings."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from thriftpy2.protocol import TBinaryProtocolFactory, TCompactProtocolFactory
 from thriftpy2.rpc import make_client
 from thriftpy2.server import TThreadedServer
-from thriftpy2.thrift import TApplicationException as OtherException
+from thriftpy2.thrift import TApplicationException as Thriftpy2Exception
 from thriftpy2.thrift import TProcessor
 from thriftpy2.transport import TFramedTransportFactory, TServerSocket
 
@@ -32,16 +32,16 @@
 from eiderhub.routing.table import Route
 from eiderhub.settings import parse_settings
 from tests.sidecar_support import SETUP, FakeServer, Sidecar, run
-from tests.thrift.peers import ThriftFake
-from tests.thrift.values import write
+from tests.thrift.peers import FakeThriftServer
+from tests.thrift.values import encode_value
 
 shop: Any = thriftpy2.load(str(Path(__file__).with_name("shop.thrift")), module_name="shop_thrift")
-FACTORIES = {Encoding.BINARY: TBinaryProtocolFactory, Encoding.COMPACT: TCompactProtocolFactory}
-APACHE = {Encoding.BINARY: TBinaryProtocol, Encoding.COMPACT: TCompactProtocol}
-MIXES = [(a, b) for a in Encoding for b in Encoding]
+PROTOCOL_FACTORIES = {Encoding.BINARY: TBinaryProtocolFactory, Encoding.COMPACT: TCompactProtocolFactory}
+APACHE_PROTOCOLS = {Encoding.BINARY: TBinaryProtocol, Encoding.COMPACT: TCompactProtocol}
+ENCODING_PAIRS = [(a, b) for a in Encoding for b in Encoding]
 
 
-def order(**changes: Any) -> Any:
+def sample_order(**changes: Any) -> Any:
     lines = [shop.Line(7, 12.5, True, "now"), shop.Line(-1, float("inf"), False)]
     values = {
         "key": "k-é", "deadline_ms": 2000, "lines": lines, "counts": {"a": 1 << 62, "b": -1}, "bays": {1, -300},
@@ -52,10 +52,10 @@
 
 
 class Handler:
-    """What thriftpy2's server runs."""
+    """Implementation of the service, run by the thriftpy2 server."""
 
     def __init__(self) -> None:
-        self.noted: queue.Queue[str] = queue.Queue()
+        self.notes: queue.Queue[str] = queue.Queue()
         self.encoding = Encoding.BINARY
         self.port = 0
 
@@ -70,7 +70,7 @@
         return len(order.lines) << 40
 
     def note(self, text: str) -> None:
-        self.noted.put(text)
+        self.notes.put(text)
 
 
 def thriftpy2_client(port: int, encoding: Encoding) -> Any:
@@ -78,7 +78,7 @@
         shop.Shop,
         "127.0.0.1",
         port,
-        proto_factory=FACTORIES[encoding](),
+        proto_factory=PROTOCOL_FACTORIES[encoding](),
         trans_factory=TFramedTransportFactory(),
         timeout=5000,
     )
@@ -86,17 +86,17 @@
 
 @contextmanager
 def serving(encoding: Encoding) -> Iterator[tuple[Handler, str]]:
-    """thriftpy2's own server, in a thread, on a free port."""
+    """Run a thriftpy2 server in a thread, on a free port."""
     handler = Handler()
-    listening = socket.create_server(("127.0.0.1", 0))
-    handler.encoding, handler.port = encoding, listening.getsockname()[1]
-    place: Any = TServerSocket(host="127.0.0.1", port=handler.port)  # type: ignore[no-untyped-call]
-    place.sock = listening
-    place.listen = lambda: None
+    listener = socket.create_server(("127.0.0.1", 0))
+    handler.encoding, handler.port = encoding, listener.getsockname()[1]
+    transport: Any = TServerSocket(host="127.0.0.1", port=handler.port)  # type: ignore[no-untyped-call]
+    transport.sock = listener
+    transport.listen = lambda: None
     server = TThreadedServer(
         TProcessor(shop.Shop, handler),
-        place,
-        iprot_factory=FACTORIES[encoding](),
+        transport,
+        iprot_factory=PROTOCOL_FACTORIES[encoding](),
         itrans_factory=TFramedTransportFactory(),
         daemon=True,
     )
@@ -105,15 +105,15 @@
         yield handler, f"127.0.0.1:{handler.port}"
     finally:
         server.close()
-        listening.close()
+        listener.close()
 
 
-def through(caller: Encoding, endpoint: Encoding, talk: Any) -> None:
-    """Let a blocking client talk, in a thread, through a sidecar to thriftpy2's server."""
+def run_through_sidecar(caller: Encoding, endpoint: Encoding, use_client: Any) -> None:
+    """Run a blocking client in a thread, with a sidecar between it and a thriftpy2 server."""
     fields = {"key": (1, 1), "deadline_ms": (1, 2)}
 
     async def test(handler: Handler, address: str) -> None:
-        class Elsewhere(FakeServer):
+        class ExternalServer(FakeServer):
             async def start(self) -> FakeServer:
                 await super().start()
                 self.address = address
@@ -121,59 +121,59 @@
 
         options = ListenerOptions("127.0.0.1", 0, endpoint_encoding=endpoint, default_tenant="acme", field_paths=fields)
         routes = plan(parse_settings(SETUP), [Route("notes", "pay", protocol="thrift", call="note")], {})
-        async with Sidecar(thrift=options, fake=Elsewhere, plan=routes) as sidecar:
-            await asyncio.to_thread(talk, sidecar.thrift_port, caller, handler)
+        async with Sidecar(thrift=options, fake=ExternalServer, plan=routes) as sidecar:
+            await asyncio.to_thread(use_client, sidecar.thrift_port, caller, handler)
 
     with serving(endpoint) as (handler, address):
         run(test(handler, address))
 
 
-@pytest.mark.parametrize(("caller", "endpoint"), MIXES)
-def test_thriftpy2_talks_to_itself_as_if_nobody_were_between(caller: Encoding, endpoint: Encoding) -> None:
-    def talk(port: int, encoding: Encoding, handler: Handler) -> None:
+@pytest.mark.parametrize(("caller", "endpoint"), ENCODING_PAIRS)
+def test_a_thriftpy2_client_gets_the_same_results_as_without_a_sidecar(caller: Encoding, endpoint: Encoding) -> None:
+    def use_client(port: int, encoding: Encoding, handler: Handler) -> None:
         client = thriftpy2_client(port, encoding)
         direct = thriftpy2_client(handler.port, handler.encoding)
-        as_it_comes = direct.look(order())
+        direct_result = direct.look(sample_order())
         direct.close()
         for _ in range(3):
-            assert client.look(order()) == as_it_comes
-        assert client.pay(order()) == 2 << 40
-        with pytest.raises(shop.Sold) as sold:  # declared: the application's own answer
-            client.pay(order(key="sold"))
+            assert client.look(sample_order()) == direct_result
+        assert client.pay(sample_order()) == 2 << 40
+        with pytest.raises(shop.Sold) as sold:  # a declared exception, which is the application's own result
+            client.pay(sample_order(key="sold"))
         assert sold.value.why == "yesterday"
-        assert client.look(order(key="again")).key == "again"
-        with pytest.raises(OtherException):  # the server closes on what its handler did not expect
-            client.pay(order(key="broken"))
-        client.note("gone and heard of")
-        assert handler.noted.get(timeout=5) == "gone and heard of"
-        assert client.pay(order()) == 2 << 40
-        with pytest.raises(OtherException) as missing:
-            client.look(order(deadline_ms=-1))
-        assert missing.value.type == 7
+        assert client.look(sample_order(key="again")).key == "again"
+        with pytest.raises(Thriftpy2Exception):  # the server closes the connection on an unexpected exception
+            client.pay(sample_order(key="broken"))
+        client.note("sent and received")
+        assert handler.notes.get(timeout=5) == "sent and received"
+        assert client.pay(sample_order()) == 2 << 40
+        with pytest.raises(Thriftpy2Exception) as rejected:
+            client.look(sample_order(deadline_ms=-1))
+        assert rejected.value.type == 7
         client.close()
 
-    through(caller, endpoint, talk)
+    run_through_sidecar(caller, endpoint, use_client)
 
 
-@pytest.mark.parametrize(("caller", "endpoint"), MIXES)
-def test_apaches_client_reads_what_thriftpy2_serves(caller: Encoding, endpoint: Encoding) -> None:
-    def talk(port: int, encoding: Encoding, handler: Handler) -> None:
-        plug = TSocket("127.0.0.1", port)
-        plug.setTimeout(5000)
-        framing = TFramedTransport(plug)
-        framing.open()
-        protocol = APACHE[encoding](framing)
+@pytest.mark.parametrize(("caller", "endpoint"), ENCODING_PAIRS)
+def test_an_apache_client_reads_replies_of_a_thriftpy2_server(caller: Encoding, endpoint: Encoding) -> None:
+    def use_client(port: int, encoding: Encoding, handler: Handler) -> None:
+        socket_transport = TSocket("127.0.0.1", port)
+        socket_transport.setTimeout(5000)
+        framed_transport = TFramedTransport(socket_transport)
+        framed_transport.open()
+        protocol = APACHE_PROTOCOLS[encoding](framed_transport)
 
-        def call(name: str, kind: int, key: bytes) -> None:
-            asked = [
+        def call(name: str, message_type: int, key: bytes) -> None:
+            order_fields = [
                 (1, (TType.STRING, key)),
                 (2, (TType.I32, 2000)),
                 (3, (TType.LIST, (TType.STRUCT, [[(1, (TType.I32, 5))]]))),
             ]
-            protocol.writeMessageBegin(name, kind, 12)
-            write(protocol, TType.STRUCT, [(1, (TType.STRUCT, asked))])
+            protocol.writeMessageBegin(name, message_type, 12)
+            encode_value(protocol, TType.STRUCT, [(1, (TType.STRUCT, order_fields))])
             protocol.writeMessageEnd()
-            framing.flush()
+            framed_transport.flush()
 
         call("pay", TMessageType.CALL, b"k")
         assert protocol.readMessageBegin() == ("pay", TMessageType.REPLY, 12)
@@ -190,25 +190,25 @@
         error.read(protocol)
         protocol.readMessageEnd()
         assert error.type == TApplicationException.UNKNOWN_METHOD
-        framing.close()
+        framed_transport.close()
 
-    through(caller, endpoint, talk)
+    run_through_sidecar(caller, endpoint, use_client)
 
 
 @pytest.mark.parametrize("encoding", list(Encoding))
-def test_refusals_reach_clients_as_exceptions_of_a_type_of_their_own(encoding: Encoding) -> None:
+def test_refusals_reach_clients_as_load_shedding_exceptions(encoding: Encoding) -> None:
     async def test() -> None:
         options = ListenerOptions("127.0.0.1", 0, default_tenant="acme")
-        async with Sidecar(0, thrift=options, fake=ThriftFake) as sidecar:
+        async with Sidecar(0, thrift=options, fake=FakeThriftServer) as sidecar:
 
-            def talk() -> OtherException:
+            def use_client() -> Thriftpy2Exception:
                 client = thriftpy2_client(sidecar.thrift_port, encoding)
-                with pytest.raises(OtherException) as told:
-                    client.pay(order())
+                with pytest.raises(Thriftpy2Exception) as raised:
+                    client.pay(sample_order())
                 client.close()
-                return told.value
+                return raised.value
 
-            error = await asyncio.to_thread(talk)
+            error = await asyncio.to_thread(use_client)
             assert error.type == LOAD_SHEDDING
             assert str(error.message).startswith("refused: nothing has run")
 
--- a/tests/thrift/test_program.py
+++ b/tests/thrift/test_program.py
@@ -1,4 +1,4 @@
-"""The real program with its Thrift port open: routes by service, a reload, and SIGTERM with calls out."""
+"""The sidecar as a process with a Thrift listener: routes by service, a reload, and SIGTERM with pending calls."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from standins.discovery import row
 from standins.program import running
 from tests.sidecar_support import SETUP, run
-from tests.thrift.peers import AskedThrift, ThriftClient, ThriftFake
+from tests.thrift.peers import FakeThriftServer, ReceivedCall, ThriftClient
 
 OPERATOR = """\
 [routing]
@@ -31,8 +31,8 @@
 """
 
 
-def document(fake: ThriftFake) -> dict[str, Any]:
-    known = {"generation": 1, "reset": True, "instances": [row("s-0", fake.address)]}
+def sidecar_document(server: FakeThriftServer) -> dict[str, Any]:
+    known = {"generation": 1, "reset": True, "instances": [row("s-0", server.address)]}
     return {"name": "n0", "seed": "8c1f", "discovery": "127.0.0.1:1", "settings": SETUP, "known": known}
 
 
@@ -41,68 +41,68 @@
     return int(line.rpartition(":")[2])
 
 
-async def asked(fake: ThriftFake) -> AskedThrift:
-    found = await fake.next()
-    assert isinstance(found, AskedThrift)
+async def next_call(server: FakeThriftServer) -> ReceivedCall:
+    found = await server.next()
+    assert isinstance(found, ReceivedCall)
     return found
 
 
 @pytest.mark.parametrize("encoding", list(Encoding))
-def test_sigterm_answers_the_calls_that_are_out_closes_idle_callers_and_exits_with_0(
+def test_sigterm_answers_pending_calls_closes_idle_connections_and_exits_with_0(
     encoding: Encoding, tmp_path: Path
 ) -> None:
     async def test() -> None:
-        fake = ThriftFake()
-        await fake.start()
-        async with running(tmp_path, document(fake), OPERATOR) as (process, _, _):
+        server = FakeThriftServer()
+        await server.start()
+        async with running(tmp_path, sidecar_document(server), OPERATOR) as (process, _, _):
             port = logged_port(tmp_path)
             busy, idle = [await ThriftClient.connect(port, encoding) for _ in range(2)]
             idle.send("Invoice:issue")
-            (await asked(fake)).reply()
-            assert (await idle.answer()).kind is None
-            numbers = [busy.send("Invoice:issue", 30_000, key) for key in (b"a", b"b", b"c")]
-            calls = [await asked(fake) for _ in numbers]
+            (await next_call(server)).reply()
+            assert (await idle.answer()).exception_type is None
+            seqids = [busy.send("Invoice:issue", 30_000, key) for key in (b"a", b"b", b"c")]
+            calls = [await next_call(server) for _ in seqids]
             process.send_signal(signal.SIGTERM)
-            assert await idle.reader.read() == b""  # the drain has begun: those between calls are let go
+            assert await idle.reader.read() == b""  # the shutdown has begun: idle connections are closed
             for call in reversed(calls):
                 call.reply()
-            answers = [await busy.answer() for _ in numbers]
-            assert [(a.kind, a.header.seqid) for a in answers] == [(None, n) for n in numbers]
+            answers = [await busy.answer() for _ in seqids]
+            assert [(a.exception_type, a.header.seqid) for a in answers] == [(None, n) for n in seqids]
             assert await busy.reader.read() == b""
             assert await process.wait() == 0
-            assert fake.received.empty()
+            assert server.received.empty()
 
     run(test())
 
 
-def test_a_reload_changes_what_routes_take_and_leaves_calls_alone(tmp_path: Path) -> None:
+def test_a_reload_changes_the_routes_and_leaves_pending_calls_alone(tmp_path: Path) -> None:
     async def test() -> None:
-        fake = ThriftFake()
-        await fake.start()
-        async with running(tmp_path, document(fake), OPERATOR) as (process, _, _):
+        server = FakeThriftServer()
+        await server.start()
+        async with running(tmp_path, sidecar_document(server), OPERATOR) as (process, _, _):
             client = await ThriftClient.connect(logged_port(tmp_path), Encoding.BINARY)
             client.send("Refund:issue")
-            assert (await client.answer()).kind == ExceptionType.UNKNOWN_METHOD
+            assert (await client.answer()).exception_type == ExceptionType.UNKNOWN_METHOD
             client.send("Invoice:issue", 30_000)
-            call = await asked(fake)
+            call = await next_call(server)
             (tmp_path / "operator.toml").write_text(OPERATOR.replace('"Invoice"', '"Refund"'))
             process.send_signal(signal.SIGHUP)
             probe = await ThriftClient.connect(logged_port(tmp_path), Encoding.BINARY)
-            while True:  # until the new file is in force
+            while True:  # until the new configuration is in effect
                 probe.send("Invoice:issue", 30_000)
-                next_call = asyncio.create_task(fake.next())
+                forwarded = asyncio.create_task(server.next())
                 answer = asyncio.create_task(probe.answer())
-                await asyncio.wait((next_call, answer), return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait((forwarded, answer), return_when=asyncio.FIRST_COMPLETED)
                 if answer.done():
-                    next_call.cancel()
+                    forwarded.cancel()
                     break
-                next_call.result().reply()
+                forwarded.result().reply()
                 await answer
-            assert answer.result().kind == ExceptionType.UNKNOWN_METHOD
+            assert answer.result().exception_type == ExceptionType.UNKNOWN_METHOD
             call.reply()
-            assert (await client.answer()).kind is None
+            assert (await client.answer()).exception_type is None
             client.send("Refund:issue", 30_000)
-            (await asked(fake)).reply()
-            assert (await client.answer()).kind is None
+            (await next_call(server)).reply()
+            assert (await client.answer()).exception_type is None
 
     run(test())
