--- a/eiderhub/protocols/thrift/binary.py
+++ b/eiderhub/protocols/thrift/binary.py
@@ -58,16 +58,16 @@
 class Patterns:
     """Compiled patterns of an encoding, built from the pattern of a run of plain fields."""
 
-    def __init__(self, plain: bytes) -> None:
-        self.run = re.compile(plain, re.DOTALL).match
+    def __init__(self, plain_fields: bytes) -> None:
+        self.match_run = re.compile(plain_fields, re.DOTALL).match
         # Eight structs of plain fields at a time, as elements of a list: a pattern can't use the list's count. If eight
         # don't match, they are skipped one by one, so that no byte is scanned more than twice.
-        self.eight = re.compile(b"(?:%s\\0){8}" % plain, re.DOTALL).match
+        self.match_eight_structs = re.compile(b"(?:%s\\0){8}" % plain_fields, re.DOTALL).match
 
-    def structs(self, frame: bytes, offset: int, count: int) -> tuple[int, int]:
+    def skip_structs(self, frame: bytes, offset: int, count: int) -> tuple[int, int]:
         """Skip plain structs in groups of eight. Return the number of structs left, and their offset."""
-        while count >= 8 and (found := self.eight(frame, offset)):
-            offset = found.end()
+        while count >= 8 and (match := self.match_eight_structs(frame, offset)):
+            offset = match.end()
             count -= 8
         return count, offset
 
@@ -117,6 +117,7 @@
 
 
 def write_seqid(seqid: int) -> bytes:
+    """Encode a sequence id."""
     return I32.pack(seqid)
 
 
@@ -155,7 +156,7 @@
     if depth > MAX_DEPTH:
         raise MalformedMessage(f"more than {MAX_DEPTH} levels within each other")
     while count:
-        count, offset = PATTERNS.structs(frame, offset, count)
+        count, offset = PATTERNS.skip_structs(frame, offset, count)
         for _ in range(min(count, 8)):
             offset = skip_struct(frame, offset, depth)
             count -= 1
@@ -165,7 +166,7 @@
 def skip_struct(frame: bytes, offset: int, depth: int = 0) -> int:
     """Return the offset after a struct and its stop field. Raises MalformedMessage."""
     size = len(frame)
-    match_run = PATTERNS.run
+    match_run = PATTERNS.match_run
     while True:
         run = match_run(frame, offset)
         if run is not None:
--- a/eiderhub/protocols/thrift/compact.py
+++ b/eiderhub/protocols/thrift/compact.py
@@ -108,6 +108,7 @@
 
 
 def read_header(frame: bytes) -> MessageHeader:
+    """Parse the header of a message. Raises MalformedMessage."""
     if len(frame) < 4:
         raise MalformedMessage("a message that ends in its header")
     if frame[0] != PROTOCOL_ID:
@@ -134,6 +135,7 @@
 
 
 def write_header(message_type: int, name: bytes, seqid: int) -> bytes:
+    """Encode a message header."""
     return bytes((PROTOCOL_ID, message_type << 5 | VERSION)) + write_seqid(seqid) + write_varint(len(name)) + name
 
 
@@ -182,7 +184,7 @@
     if depth > MAX_DEPTH:
         raise MalformedMessage(f"more than {MAX_DEPTH} levels within each other")
     while count:
-        count, offset = PATTERNS.structs(frame, offset, count)
+        count, offset = PATTERNS.skip_structs(frame, offset, count)
         for _ in range(min(count, 8)):
             offset = skip_struct(frame, offset, depth)
             count -= 1
@@ -191,7 +193,7 @@
 
 def skip_struct(frame: bytes, offset: int, depth: int = 0) -> int:
     """Return the offset after a struct and its stop field. Raises MalformedMessage."""
-    match_run = PATTERNS.run
+    match_run = PATTERNS.match_run
     while True:
         run = match_run(frame, offset)
         if run is not None:
--- a/eiderhub/protocols/thrift/definitions.py
+++ b/eiderhub/protocols/thrift/definitions.py
@@ -14,6 +14,8 @@
 
 
 class Encoding(IntEnum):
+    """Encodings of messages, which Thrift calls protocols."""
+
     BINARY = 0
     COMPACT = 1
 
--- a/eiderhub/protocols/thrift/field_paths.py
+++ b/eiderhub/protocols/thrift/field_paths.py
@@ -108,6 +108,7 @@
 
 
 def _check_unique(field_id: int, seen: set[int]) -> None:
+    """Record a field of a struct. Raises MalformedMessage if the struct had it before."""
     if field_id in seen:
         raise MalformedMessage(f"field {field_id} stands twice in one struct")
     seen.add(field_id)
--- a/eiderhub/protocols/thrift/options.py
+++ b/eiderhub/protocols/thrift/options.py
@@ -46,6 +46,8 @@
 
 @dataclass(frozen=True)
 class FieldPath:
+    """Value of the operator's file that holds a path of field ids."""
+
     words: str = 'field ids separated by dots, such as "1.3" for field 3 of argument 1'
 
     def read(self, value: object, spot: Spot) -> Any:
@@ -110,6 +112,7 @@
 
 
 def check(pair: Pair) -> None:
+    """Check the table `[thrift]` on its own and, if there is one, against the sidecar's JSON file."""
     row = pair.tables.get("thrift")
     if row is None:
         return
@@ -129,11 +132,11 @@
 
 def _check_listen(pair: Pair, row: dict[str, Any], spot: Spot) -> None:
     host, port = row["listen"]
-    own = pair.document.get("listen")
-    if port and own == f"{host}:{port}":
+    http_address = pair.document.get("listen")
+    if port and http_address == f"{host}:{port}":
         (spot / "listen").error(
             "address",
-            f"{own} is the address for HTTP",
+            f"{http_address} is the address for HTTP",
             "One of the two listeners could not bind",
             "Choose another port",
         )
