--- a/eiderhub/protocols/thrift/replies.py
+++ b/eiderhub/protocols/thrift/replies.py
@@ -1,4 +1,4 @@
-"""Classifies replies of endpoints, and words the exceptions that callers get. Without I/O.
+"""Classifies replies of endpoints, and defines the exceptions that callers get. Without I/O.
 
 | received | outcome | has the call run? |
 | --- | --- | --- |
