--- a/benchmarks/fleet/flood.py
+++ b/benchmarks/fleet/flood.py
@@ -8,12 +8,12 @@
 import sys
 import time
 
-from standins.callers import Callers, Kind, Tally
+from standins.callers import Callers, RequestKind, RequestStats
 from standins.discovery import row
-from standins.endpoint import Behaviour, Endpoint, Ledger
+from standins.endpoint import Behaviour, Endpoint, ExecutionLog
 from standins.fleet.rig import Rig
 
-KIND = Kind("GET", "/look/part", 2_000)
+KIND = RequestKind("GET", "/look/part", 2_000)
 ROUND_S = 1.5
 REQUESTS_PER_S = 150.0
 JUNK_PER_S = 100_000  # the rate that the sender tries to reach
@@ -36,7 +36,7 @@
 """
 
 
-async def run_round(rig: Rig, flooded: bool) -> tuple[Tally, int]:
+async def run_round(rig: Rig, flooded: bool) -> tuple[RequestStats, int]:
     """Run requests for ROUND_S, with or without a flood; return their tally and the junk datagrams sent."""
     sender = None
     if flooded:
@@ -52,12 +52,12 @@
     if sender is not None:
         out, _ = await sender.communicate()
         sent = int(out)
-    return callers.tallies[KIND.target], sent
+    return callers.stats[KIND.target], sent
 
 
 async def flood(rounds: int) -> list[tuple[float, float, float, float]]:
     """Return for each pair of rounds the median and 99th percentile latency, quiet and flooded, in milliseconds."""
-    endpoint = await Endpoint(Ledger(), Behaviour(lambda: 0.002), random.Random(1)).start()
+    endpoint = await Endpoint(ExecutionLog(), Behaviour(lambda: 0.002), random.Random(1)).start()
     rows, junk, unserved = [], 0, 0
     async with Rig(3, 1, 0.1, [row("s-0", endpoint.address)]) as rig:
         await rig.settle()
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -24,9 +24,9 @@
 import uvloop
 
 from standins.discovery import Discovery, row
-from standins.endpoint import Behaviour, Endpoint, Ledger
-from standins.http import Message, leave, read_message, request
-from standins.program import running
+from standins.endpoint import Behaviour, Endpoint, ExecutionLog
+from standins.http import Message, disconnect, format_request, read_message
+from standins.program import running_sidecar
 
 LIMIT_S = 0.3
 FAILING_PART, FAILING_LEAST = 0.25, 5  # the operators' term
@@ -73,7 +73,7 @@
         reader, writer = await asyncio.open_connection(*address)
         for request_id in ids:
             headers = {"Host": "a", "Req-Id": request_id, "Req-Deadline-Ms": "3000"}
-            writer.write(request("POST", "/pay/a", headers, b"x"))
+            writer.write(format_request("POST", "/pay/a", headers, b"x"))
         answered = 0
         try:
             async with asyncio.timeout(chance.uniform(0.0, 0.6)):
@@ -81,7 +81,7 @@
                     await read_message(reader)
                     answered += 1
         except TimeoutError:
-            leave(writer, how)
+            disconnect(writer, how)
             left = time.monotonic()
             cases += [Case(ids[i], how, i > answered, left) for i in range(answered, len(ids))]
             if how == "half close":  # the other side ends what is left of it
@@ -111,7 +111,7 @@
     endpoints: list[Noting] = []
     discovery = await Discovery().start()
     for i in range(ENDPOINTS):
-        endpoint = Noting(Ledger(), Behaviour(work_s=lambda: WORK_S), chance)
+        endpoint = Noting(ExecutionLog(), Behaviour(work_s=lambda: WORK_S), chance)
         endpoint.came = came
         await endpoint.start()
         endpoints.append(endpoint)
@@ -122,7 +122,7 @@
     }  # fmt: skip
     cases: list[Case] = []
     with tempfile.TemporaryDirectory() as folder:
-        async with running(Path(folder), document) as (_, host, port):
+        async with running_sidecar(Path(folder), document) as (_, host, port):
             until = time.monotonic() + seconds
             await asyncio.gather(*(call((host, port), i, chance, until, cases) for i in range(CALLERS)))
             await asyncio.sleep(1.0)  # so that what is sent on late is seen
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -25,9 +25,9 @@
 from benchmarks.proxy import Subject
 from eiderhub.config.write import outcome
 from standins.consul import Consul, instance
-from standins.endpoint import Behaviour, Endpoint, Ledger
-from standins.http import answer, read_message, request
-from standins.program import running
+from standins.endpoint import Behaviour, Endpoint, ExecutionLog
+from standins.http import format_request, format_response, read_message
+from standins.program import running_sidecar
 
 SIZES = (100, 1_000, 5_000)
 SERVICES, NODES = 20, 107
@@ -82,7 +82,7 @@
         self.index += 1
         requests = len(self.agent.requests)
         self.agent.respond_with(
-            answer(200, self.bodies[self.index % len(self.bodies)], f"X-Consul-Index: {self.index}")
+            format_response(200, self.bodies[self.index % len(self.bodies)], f"X-Consul-Index: {self.index}")
         )
         while len(self.agent.requests) == requests:
             await asyncio.sleep(0.001)
@@ -108,7 +108,7 @@
             number += 1
             headers = {"Host": "a", "Req-Id": f"{id(writer):x}-{number}-{self.index}", "Req-Owner": "acme"}
             begun = time.monotonic()
-            writer.write(request("GET", "/look/item", headers | {"Req-Deadline-Ms": "5000"}))
+            writer.write(format_request("GET", "/look/item", headers | {"Req-Deadline-Ms": "5000"}))
             message = await read_message(reader)
             if message.status != 200:
                 raise SystemExit(f"unexpected status {message.status}")
@@ -123,14 +123,14 @@
 
 
 async def measure(size: int, rounds: int, rng: random.Random) -> None:
-    endpoint = await Endpoint(Ledger(), Behaviour(), rng).start()
+    endpoint = await Endpoint(ExecutionLog(), Behaviour(), rng).start()
     agent = await Consul().start()
     agent.set("web", instance("web", endpoint.address))
     bodies = [response_body(endpoint.address, size, changed) for changed in (0, 5)]
     operator = f'[consul]\nagents = "{agent.address}"\nservices = "web"\nanswer = "16MiB"\n'
     with tempfile.TemporaryDirectory() as folder:
         found = {**document(), "discovery": "127.0.0.1:1"}
-        async with running(Path(folder), found, operator) as (process, host, port):
+        async with running_sidecar(Path(folder), found, operator) as (process, host, port):
             run = Run(agent, Subject(f"{size} instances", process.pid, (host, port)), bodies)
             while not agent.answered_at:
                 await asyncio.sleep(0.01)
@@ -168,7 +168,7 @@
         agent.set(name, instance(name, f"10.{i}.0.0:80", "passing", "n0"))
     operator = f'[consul]\nagents = "{agent.address}"\nservices = {json.dumps(names)}\n'
     with tempfile.TemporaryDirectory() as folder:
-        async with running(Path(folder), document(), operator) as (process, host, port):
+        async with running_sidecar(Path(folder), document(), operator) as (process, host, port):
             subject = Subject("services", process.pid, (host, port))
             while len(agent.requests) < 2 * SERVICES:  # each service is polled again once its list is in force
                 await asyncio.sleep(0.01)
--- a/benchmarks/notification_delay.py
+++ b/benchmarks/notification_delay.py
@@ -25,9 +25,9 @@
 
 from benchmarks.membership import document
 from standins.consul import Consul, instance
-from standins.endpoint import Behaviour, Endpoint, Ledger
-from standins.http import Message, read_message, request
-from standins.program import running
+from standins.endpoint import Behaviour, Endpoint, ExecutionLog
+from standins.http import Message, format_request, read_message
+from standins.program import running_sidecar
 
 ENDPOINTS = 3
 CALLERS = 12
@@ -64,7 +64,7 @@
         while True:
             number += 1
             headers = {"Host": "a", "Req-Id": f"{name}-{number}", "Req-Owner": "acme", "Req-Deadline-Ms": "5000"}
-            writer.write(request("GET", "/look/item", headers))
+            writer.write(format_request("GET", "/look/item", headers))
             await read_message(reader)
             await asyncio.sleep(0.002)
     finally:
@@ -76,7 +76,7 @@
     rng = random.Random(1)
     endpoints = []
     for _ in range(ENDPOINTS):
-        endpoint = RecordingEndpoint(Ledger(), Behaviour(), rng)
+        endpoint = RecordingEndpoint(ExecutionLog(), Behaviour(), rng)
         endpoint.arrivals = []
         await endpoint.start()
         endpoints.append(endpoint)
@@ -86,7 +86,7 @@
     latest: dict[str, list[float]] = {state: [] for state in STATES}
     return_delays: list[float] = []
     with tempfile.TemporaryDirectory() as folder:
-        async with running(Path(folder), document(), operator) as (_, host, port):
+        async with running_sidecar(Path(folder), document(), operator) as (_, host, port):
             callers = [asyncio.create_task(call((host, port), i)) for i in range(CALLERS)]
             await asyncio.sleep(0.5)
             for _ in range(flips):
--- a/benchmarks/proxy.py
+++ b/benchmarks/proxy.py
@@ -31,7 +31,7 @@
 
 from eiderhub.config.write import outcome
 from standins.discovery import row
-from standins.program import free_address, running, wait_ready
+from standins.program import free_address, running_sidecar, wait_ready
 
 CALLERS = 16
 ROUTES = 1000
@@ -200,7 +200,7 @@
             plans.insert(1, ("the other checkout, plain", None, (sys.executable, "-c", code)))
         for name, operator, command in plans:
             folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
-            process, host, port = await stack.enter_async_context(running(folder, document, operator, command))
+            process, host, port = await stack.enter_async_context(running_sidecar(folder, document, operator, command))
             await wait_ready(host, port)
             subjects.append(Subject(name, process.pid, (host, port)))
         for subject in subjects:  # warm up, and forget it
@@ -221,7 +221,7 @@
     """One process, with no routes and with 1,000 by turns."""
     folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
     texts = ("", routes(ROUTES))
-    process, host, port = await stack.enter_async_context(running(folder, document, texts[0]))
+    process, host, port = await stack.enter_async_context(running_sidecar(folder, document, texts[0]))
     sides = [Subject(name, process.pid, (host, port)) for name in ("no routes", f"{ROUTES} routes")]
     taken = 0
     for number in range(rounds + 1):
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -29,9 +29,9 @@
 
 from benchmarks.proxy import Subject
 from standins.discovery import Discovery, row
-from standins.endpoint import Behaviour, Endpoint, Ledger
-from standins.http import read_message, request
-from standins.program import running
+from standins.endpoint import Behaviour, Endpoint, ExecutionLog
+from standins.http import format_request, read_message
+from standins.program import running_sidecar
 
 BOUND_BYTES = 8.0  # growth a request: 10 requests a second for a day are 7 MB then, under a twentieth of the limit
 SPARE_DESCRIPTORS = 16  # what chance in open connections may add between two readings
@@ -105,8 +105,8 @@
             f"X-New-{self.sent}": "1",
         }
         if chance.random() < 0.5:
-            return request("GET", f"/look/item-{self.sent}?q={self.sent}", headers)
-        return request("POST", f"/pay/order-{self.sent}", headers, b"x" * chance.randrange(2000))
+            return format_request("GET", f"/look/item-{self.sent}?q={self.sent}", headers)
+        return format_request("POST", f"/pay/order-{self.sent}", headers, b"x" * chance.randrange(2000))
 
 
 async def churn(discovery: Discovery, endpoints: list[Endpoint], load: Load) -> None:
@@ -140,9 +140,9 @@
 async def soak(folder: Path, seconds: float, rate: float) -> tuple[Readings, Load]:
     chance = random.Random(1)
     discovery = await Discovery().start()
-    ledger = Ledger()
+    execution_log = ExecutionLog()
     endpoints = [
-        await Endpoint(ledger, Behaviour(lambda: chance.uniform(0.001, 0.02)), random.Random(i)).start()
+        await Endpoint(execution_log, Behaviour(lambda: chance.uniform(0.001, 0.02)), random.Random(i)).start()
         for i in range(PORTS)
     ]
     for i, endpoint in enumerate(endpoints):
@@ -151,11 +151,11 @@
         "name": "soak", "seed": "5", "discovery": discovery.address, "settings": SETTINGS,
         "known": {"generation": 0, "reset": True, "instances": list(discovery.rows.values())},
     }  # fmt: skip
-    async with running(folder, document) as (process, host, port):
+    async with running_sidecar(folder, document) as (process, host, port):
         load = Load((host, port), rate)
         callers = [asyncio.create_task(load.caller(random.Random(i))) for i in range(CALLERS)]
         changes = asyncio.create_task(churn(discovery, endpoints, load))
-        forget = asyncio.create_task(forget_runs(ledger, load))
+        forget = asyncio.create_task(forget_runs(execution_log, load))
         readings = await watch(process.pid, load, seconds)
         load.stopped = True
         await asyncio.gather(*callers, changes, forget)
@@ -168,11 +168,11 @@
     return readings, load
 
 
-async def forget_runs(ledger: Ledger, load: Load) -> None:
+async def forget_runs(execution_log: ExecutionLog, load: Load) -> None:
     """The stand-in's own book is not what is measured."""
     while not load.stopped:
         await asyncio.sleep(1.0)
-        ledger.runs.clear()
+        execution_log.runs.clear()
 
 
 def slope(points: list[tuple[int, float]]) -> float:
--- a/benchmarks/thrift.py
+++ b/benchmarks/thrift.py
@@ -30,7 +30,7 @@
 from eiderhub.protocols.thrift.definitions import Encoding, MessageType, TType
 from eiderhub.protocols.thrift.framing import FrameReader, framed
 from standins.discovery import row
-from standins.program import running
+from standins.program import running_sidecar
 
 CALLERS = 16
 CALLS = 60  # of each caller in a round
@@ -262,7 +262,7 @@
     async with AsyncExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         process, host, port = await stack.enter_async_context(
-            running(folder, document(port_of(web), port_of(calls)), OPERATOR)
+            running_sidecar(folder, document(port_of(web), port_of(calls)), OPERATOR)
         )
         pid, where = await stack.enter_async_context(relay(port_of(calls)))
         thrift = (host, logged_port(folder))
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -9,20 +9,20 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from standins.http import Message, read_message, request
+from standins.http import Message, format_request, read_message
 
 
-class Kind(NamedTuple):
+class RequestKind(NamedTuple):
     """One kind of request."""
 
     method: str
     target: str
     deadline_ms: int
-    keyed: bool = False
+    has_idempotency_key: bool = False
 
 
 @dataclass
-class Tally:
+class RequestStats:
     """What came of the requests of one kind."""
 
     answers: Counter[int] = field(default_factory=Counter)  # by status; 0: none before the deadline
@@ -49,11 +49,11 @@
         self.port = port
         self.tenant = tenant
         self.prefix = prefix
-        self.tallies: dict[str, Tally] = {}
+        self.stats: dict[str, RequestStats] = {}
         self._serial = 0
         self._idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
 
-    async def send(self, kind: Kind) -> Message | None:
+    async def send(self, kind: RequestKind) -> Message | None:
         """One request; None where no answer came before its deadline."""
         self._serial += 1
         number = f"{self.prefix}{self._serial:08x}"
@@ -63,15 +63,15 @@
             "Req-Owner": self.tenant,
             "Req-Deadline-Ms": str(kind.deadline_ms),
         }
-        if kind.keyed:
+        if kind.has_idempotency_key:
             headers["Idempotency-Key"] = f"key-{number}"
-        tally = self.tallies.setdefault(kind.target, Tally())
+        tally = self.stats.setdefault(kind.target, RequestStats())
         begun = time.monotonic()
         message: Message | None = None
         try:
             async with asyncio.timeout(kind.deadline_ms / 1000):
                 pair = self._idle.pop() if self._idle else await asyncio.open_connection(self.host, self.port)
-                pair[1].write(request(kind.method, kind.target, headers))
+                pair[1].write(format_request(kind.method, kind.target, headers))
                 message = await read_message(pair[0])
                 if message.headers.get("connection") == "close":
                     pair[1].close()
@@ -83,7 +83,7 @@
         tally.latencies_s.append(time.monotonic() - begun)
         return message
 
-    async def run(self, kinds: Sequence[Kind], rate: float, seconds: float) -> None:
+    async def run(self, kinds: Sequence[RequestKind], rate: float, seconds: float) -> None:
         """Send these kinds in turn, so many a second for so long, and wait for the last answer."""
         begun = time.monotonic()
         tasks = []
--- a/standins/consul.py
+++ b/standins/consul.py
@@ -11,8 +11,8 @@
 from typing import Any
 from urllib.parse import parse_qs, unquote, urlsplit
 
-from standins.http import Message, answer
-from standins.server import Answering
+from standins.http import Message, format_response
+from standins.server import HttpServer
 
 
 def instance(service: str, address: str, status: str = "passing", node: str = "n1", **meta: str) -> dict[str, Any]:
@@ -34,7 +34,7 @@
     }  # fmt: skip
 
 
-class Consul(Answering):
+class Consul(HttpServer):
     """One agent. `set` changes a service and wakes the requests that wait for it; scripted responses come first."""
 
     def __init__(self) -> None:
@@ -74,7 +74,7 @@
 
     async def _respond(self, message: Message) -> bytes:
         if self.token is not None and message.headers.get("x-consul-token") != self.token:
-            return answer(403, b"Permission denied: token with AccessorID '00000000' lacks permission")
+            return format_response(403, b"Permission denied: token with AccessorID '00000000' lacks permission")
         target = urlsplit(message.target)
         query = parse_qs(target.query)
         service = unquote(target.path.rpartition("/")[2])
@@ -95,7 +95,7 @@
         rows = self.services.get(service, [])
         body = json.dumps([_catalogue_row(row) for row in rows] if catalogue else rows).encode()
         sent_index = self.index if index is None else index
-        return answer(
+        return format_response(
             200, body, "Content-Type: application/json", f"X-Consul-Index: {sent_index}", "X-Consul-LastContact: 0",
             "X-Consul-KnownLeader: true", *headers,
         )  # fmt: skip
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -7,8 +7,8 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from standins.http import Message, answer
-from standins.server import Answering
+from standins.http import Message, format_response
+from standins.server import HttpServer
 
 
 def row(endpoint: str, address: str, lifecycle: str = "ready", started_ms: int = 0, **more: Any) -> dict[str, Any]:
@@ -31,7 +31,7 @@
     return json.dumps({"generation": generation, "reset": reset, "instances": rows}).encode()
 
 
-class Discovery(Answering):
+class Discovery(HttpServer):
     """Serves the current list; a change wakes the watches."""
 
     def __init__(self) -> None:
@@ -59,7 +59,7 @@
 
     async def reply(self, message: Message) -> bytes:
         self.request_count += 1
-        return answer(200, await self._list(message.target))
+        return format_response(200, await self._list(message.target))
 
     async def _list(self, target: str) -> bytes:
         query = parse_qs(urlsplit(target).query)
--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -8,17 +8,17 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from standins.http import Message, answer
-from standins.server import Answering
+from standins.http import Message, format_response
+from standins.server import HttpServer
 
 
 @dataclass
-class Ledger:
+class ExecutionLog:
     """What ran, seen from the world's side: shared by the endpoints of one world."""
 
     runs: Counter[tuple[str, str]] = field(default_factory=Counter)  # by class and request id
 
-    def repeated(self, grade: str) -> int:
+    def count_repeated(self, grade: str) -> int:
         """Requests of a class that ran more than once."""
         return sum(count > 1 for (found, _), count in self.runs.items() if found == grade)
 
@@ -32,12 +32,12 @@
     draining: bool = False  # turns everything away
 
 
-class Endpoint(Answering):
+class Endpoint(HttpServer):
     """One server on a port of its own."""
 
-    def __init__(self, ledger: Ledger, behaviour: Behaviour, chance: random.Random) -> None:
+    def __init__(self, execution_log: ExecutionLog, behaviour: Behaviour, chance: random.Random) -> None:
         super().__init__()
-        self.ledger = ledger
+        self.execution_log = execution_log
         self.behaviour = behaviour
         self.chance = chance
         self.served: Counter[str] = Counter()  # by class
@@ -48,11 +48,11 @@
 
     async def reply(self, message: Message) -> bytes:
         if self.behaviour.draining:
-            return answer(503, b"", "Srv-Declined: 1")
+            return format_response(503, b"", "Srv-Declined: 1")
         if self.chance.random() < self.behaviour.error_rate:
-            return answer(500, b"broken")
+            return format_response(500, b"broken")
         grade = message.target.split("/")[1]
-        self.ledger.runs[grade, message.headers.get("req-id", "")] += 1
+        self.execution_log.runs[grade, message.headers.get("req-id", "")] += 1
         self.served[grade] += 1
         await asyncio.sleep(self.behaviour.work_s())
-        return answer(200, message.target.encode())
+        return format_response(200, message.target.encode())
--- a/standins/http.py
+++ b/standins/http.py
@@ -39,19 +39,19 @@
     return Message(first, headers, await reader.readexactly(int(headers.get("content-length", "0"))))
 
 
-def answer(status: int, body: bytes = b"", *headers: str) -> bytes:
+def format_response(status: int, body: bytes = b"", *headers: str) -> bytes:
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-def request(method: str, target: str, headers: dict[str, str], body: bytes = b"") -> bytes:
+def format_request(method: str, target: str, headers: dict[str, str], body: bytes = b"") -> bytes:
     lines = [f"{method} {target} HTTP/1.1", *(f"{name}: {value}" for name, value in headers.items())]
     if method != "GET":
         lines.append(f"Content-Length: {len(body)}")
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-def leave(writer: asyncio.StreamWriter, how: str) -> None:
+def disconnect(writer: asyncio.StreamWriter, how: str) -> None:
     """End a caller's connection: `close`, `half close` or `reset`."""
     if how == "half close":
         writer.write_eof()
--- a/standins/program.py
+++ b/standins/program.py
@@ -48,7 +48,7 @@
 
 
 @contextlib.asynccontextmanager
-async def running(
+async def running_sidecar(
     folder: Path, document: dict[str, Any], operator: str | None = None, command: Sequence[str] = ()
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, str, int]]:
     """Start the program on a document and an operator's text, both kept in `folder`; end it at the end.
--- a/standins/server.py
+++ b/standins/server.py
@@ -7,7 +7,7 @@
 from standins.http import Message, read_message
 
 
-class Answering:
+class HttpServer:
     """A server on a free loopback port; `reply` makes each answer."""
 
     def __init__(self) -> None:
--- a/tests/config/serving.py
+++ b/tests/config/serving.py
@@ -20,9 +20,9 @@
 from eiderhub.routing.target import Asked, segments_of
 from eiderhub.sidecar.config import Config
 from standins.discovery import Discovery, row
-from standins.endpoint import Behaviour, Endpoint, Ledger
-from standins.http import read_message, request
-from standins.program import running
+from standins.endpoint import Behaviour, Endpoint, ExecutionLog
+from standins.http import format_request, read_message
+from standins.program import running_sidecar
 
 MOST_WAYS = 6  # of one configuration
 MARGIN_S = 0.06  # answers leave so long before it
@@ -83,8 +83,8 @@
     assert examined.config is not None, examined.errors
     assert examined.config.plan is not None
     plan = examined.config.plan
-    ledger = Ledger()
-    endpoint = await Endpoint(ledger, Behaviour(), random.Random(1)).start()
+    execution_log = ExecutionLog()
+    endpoint = await Endpoint(execution_log, Behaviour(), random.Random(1)).start()
     discovery = await Discovery().start()
     for entry in rows_for(examined.config, endpoint.address):
         discovery.update(entry)
@@ -92,7 +92,7 @@
     served: set[str] = set()
     late: set[str] = set()
     with tempfile.TemporaryDirectory() as folder:
-        async with running(Path(folder), told, operator) as (_, host, port):
+        async with running_sidecar(Path(folder), told, operator) as (_, host, port):
             async with asyncio.timeout(5):
                 while not discovery.request_count:  # the known list may be old, and is polled for later
                     await asyncio.sleep(0.005)
@@ -105,7 +105,7 @@
                     late.add(name)
     endpoint.stop()
     discovery.stop()
-    assert {name for _, name in ledger.runs} - late == served  # second copies of harmless ones may have run as well
+    assert {name for _, name in execution_log.runs} - late == served  # hedges may have run as well
     return len(served)
 
 
@@ -116,7 +116,7 @@
     if way.grade.effect is Effect.DEDUPLICATED:
         headers["Idempotency-Key"] = f"k{name}"
     reader, writer = await asyncio.open_connection(host, port)
-    writer.write(request(METHOD[way.grade.effect], way.target, headers))
+    writer.write(format_request(METHOD[way.grade.effect], way.target, headers))
     begun = time.monotonic()
     answer = await read_message(reader)
     writer.close()
--- a/tests/fleet/test_rig.py
+++ b/tests/fleet/test_rig.py
@@ -14,14 +14,14 @@
 
 from benchmarks.fleet.__main__ import false_failures
 from eiderhub.fleet.messages import Codec, MemberUpdate, State, ViewPart, pack_address
-from standins.callers import Callers, Kind
+from standins.callers import Callers, RequestKind
 from standins.discovery import row
-from standins.endpoint import Behaviour, Endpoint, Ledger
+from standins.endpoint import Behaviour, Endpoint, ExecutionLog
 from standins.fleet.rig import Rig
 from standins.fleet.script import draw, parse
 
 PERIOD_S = 0.05
-KIND = Kind("GET", "/look/part", 2_000)
+KIND = RequestKind("GET", "/look/part", 2_000)
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
@@ -175,11 +175,11 @@
     """Two processes call an endpoint that fails fast; the third lowers its share without a call of its own."""
 
     async def test() -> None:
-        ledger = Ledger()
+        execution_log = ExecutionLog()
         behaviours = [Behaviour() for _ in range(8)]
         behaviours[0].error_rate = 1.0
 
-        endpoints = [await Endpoint(ledger, behaviour, random.Random(1)).start() for behaviour in behaviours]
+        endpoints = [await Endpoint(execution_log, behaviour, random.Random(1)).start() for behaviour in behaviours]
         rows = [row(f"s-{i}", endpoint.address) for i, endpoint in enumerate(endpoints)]
         async with Rig(3, 1, PERIOD_S, rows) as rig:
             await rig.settle()
@@ -203,7 +203,7 @@
     """
 
     async def test() -> None:
-        endpoint = await Endpoint(Ledger(), Behaviour(), random.Random(1)).start()
+        endpoint = await Endpoint(ExecutionLog(), Behaviour(), random.Random(1)).start()
         async with Rig(3, 1, PERIOD_S, [row("s-0", endpoint.address)]) as rig:
             await rig.settle()
             target = rig.relay.member_addresses[0]
@@ -211,7 +211,7 @@
             caller = Callers("127.0.0.1", rig.members[0].port, "acme")
             await caller.run([KIND], 100, 1.0)
             assert await flood > 1000
-            assert caller.tallies[KIND.target].served == 100
+            assert caller.stats[KIND.target].served == 100
             caller.close()
             await rig.settle()
             assert not [row for _, source, row in rig.events("gone") if source == "n0"]
--- a/tests/membership/test_client.py
+++ b/tests/membership/test_client.py
@@ -21,8 +21,8 @@
 from eiderhub.membership.endpoint_list import ListedEndpoint, read_endpoint_list
 from eiderhub.membership.source_aggregator import add_consul_source
 from standins.consul import Consul, instance
-from standins.http import answer
-from standins.program import running
+from standins.http import format_response
+from standins.program import running_sidecar
 from tests.sidecar_support import SETUP, Client, FakeServer, Sidecar, row, run
 from tests.test_sidecar import RecordingCaller, direct_request
 
@@ -68,13 +68,13 @@
 @pytest.mark.parametrize(
     "response",
     [
-        answer(500, b"No cluster leader"),
-        answer(429, b"Your IP is issuing too many concurrent connections"),
-        answer(200, b"[]", "X-Consul-Index: 9", "X-Consul-KnownLeader: false"),
-        answer(200, b'[{"Node"', "X-Consul-Index: 9"),
-        answer(200, b"\x1f\x8b cut", "X-Consul-Index: 9", "Content-Encoding: gzip"),
-        answer(200, gzip.compress(b" " * 200_000), "X-Consul-Index: 9", "Content-Encoding: gzip"),
-        answer(200, b"[]", "X-Consul-Index: 9", "Content-Encoding: br"),
+        format_response(500, b"No cluster leader"),
+        format_response(429, b"Your IP is issuing too many concurrent connections"),
+        format_response(200, b"[]", "X-Consul-Index: 9", "X-Consul-KnownLeader: false"),
+        format_response(200, b'[{"Node"', "X-Consul-Index: 9"),
+        format_response(200, b"\x1f\x8b cut", "X-Consul-Index: 9", "Content-Encoding: gzip"),
+        format_response(200, gzip.compress(b" " * 200_000), "X-Consul-Index: 9", "Content-Encoding: gzip"),
+        format_response(200, b"[]", "X-Consul-Index: 9", "Content-Encoding: br"),
         b"HTTP/1.1 200 OK\r\nContent-Length: 104857600\r\nX-Consul-Index: 9\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nX-Consul-Index: 9\r\n\r\n[]",
     ],
@@ -100,7 +100,7 @@
         body = json.dumps([instance("web", "10.0.0.1:90")]).encode()
         async with polling(agent) as lists:
             await lists.get()
-            agent.respond_with(answer(200, gzip.compress(body), "X-Consul-Index: 5", "Content-Encoding: gzip"))
+            agent.respond_with(format_response(200, gzip.compress(body), "X-Consul-Index: 5", "Content-Encoding: gzip"))
             assert ports(await lists.get()) == [90]
             chunks = b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in (body[:7], body[7:]))
             agent.respond_with(
@@ -205,7 +205,7 @@
             "known": {"generation": 1, "reset": True, "instances": []},
         }  # fmt: skip
         operator = f'[consul]\nagents = "{agent.address}"\nservices = "web"\n'
-        async with running(tmp_path, document, operator) as (_, host, port):
+        async with running_sidecar(tmp_path, document, operator) as (_, host, port):
             client = Client(*await asyncio.open_connection(host, port))
             request = asyncio.create_task(fake.next())
             while not request.done():  # requests are refused until Consul has listed an endpoint
@@ -244,7 +244,7 @@
             await lists.get()
             for port in (81, 82):
                 rows = json.dumps([instance("web", f"10.0.0.1:{port}")]).encode()
-                agent.respond_with(answer(200, rows, f"X-Consul-Index: {agent.index}"))
+                agent.respond_with(format_response(200, rows, f"X-Consul-Index: {agent.index}"))
                 assert ports(await lists.get()) == [port]
 
     run(test())
--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -30,9 +30,9 @@
 from eiderhub.sidecar.resource_limits import ResourceLimits
 from standins.consul import Consul, instance
 from standins.discovery import listing, row
-from standins.http import Message, answer, leave, read_message
+from standins.http import Message, disconnect, format_response, read_message
 
-__all__ = ["Message", "leave", "listing", "row"]  # re-exported from the stand-ins for the tests
+__all__ = ["Message", "disconnect", "listing", "row"]  # re-exported from the stand-ins for the tests
 
 TEST_TIMEOUT_S = 10.0  # a test that runs longer has failed
 
@@ -95,7 +95,7 @@
         self.connection = connection  # the number of the server's connection that it was received on
 
     def reply(self, status: int = 200, body: bytes = b"done", *headers: str) -> None:
-        self.writer.write(answer(status, body, *headers))
+        self.writer.write(format_response(status, body, *headers))
 
     def reset(self) -> None:
         self.writer.transport.abort()
--- a/tests/test_caller_disconnects.py
+++ b/tests/test_caller_disconnects.py
@@ -10,7 +10,7 @@
 from eiderhub.interface import Outcome
 from eiderhub.protocols.http1.server import MAX_UNPARSED_BYTES
 from eiderhub.sidecar.callers import CHECK_INTERVAL_S
-from tests.sidecar_support import SETUP, Client, FakeServer, Sidecar, leave, next_request, run
+from tests.sidecar_support import SETUP, Client, FakeServer, Sidecar, disconnect, next_request, run
 from tests.test_sidecar import RecordingCaller, direct_request
 
 MAX_FORWARD_DELAY_S = 0.3  # required by the users: from the caller's disconnect to the last byte forwarded for it
@@ -45,7 +45,7 @@
                 await asyncio.sleep(0)
                 client.send(body=b"x" * (MAX_UNPARSED_BYTES // 2))
                 await client.writer.drain()
-            leave(client.writer, how)
+            disconnect(client.writer, how)
             await attempt_cancelled(sidecar.endpoints[0])
             assert not sidecar.host.requests and not sidecar.host.balancer.calls
             assert not sidecar.callers.open_request_ids
--- a/tests/test_connection_races.py
+++ b/tests/test_connection_races.py
@@ -15,7 +15,7 @@
 from eiderhub.protocols.http1.client import HTTP1, REUSE_DELAY_US, Connection
 from eiderhub.sidecar.resource_limits import ByteBudget
 from eiderhub.sidecar.upstream import Attempt, Upstream
-from standins.http import answer
+from standins.http import format_response
 from tests.sidecar_support import Client, FakeServer, ReceivedRequest, Sidecar, listing, next_request, row, run
 from tests.test_sidecar import RecordingCaller, direct_request
 
@@ -194,7 +194,7 @@
             client = await sidecar.client()
             client.send()
             received = await next_request(sidecar)
-            write_and_end(received, answer(200, b"whole"), end)
+            write_and_end(received, format_response(200, b"whole"), end)
             assert (await client.answer()).body == b"whole"
             client.send()
             next_received = await next_request(sidecar)
@@ -229,7 +229,7 @@
             client = await sidecar.client()
             client.send(deadline_ms=400)
             received = await sidecar.endpoints[0].next()
-            received.writer.write(answer(200, b"x" * 1000)[:-900])
+            received.writer.write(format_response(200, b"x" * 1000)[:-900])
             ended = asyncio.create_task(sidecar.endpoints[0].ends.get())
             while not ended.done():
                 received.writer.write(b"x")
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -14,7 +14,7 @@
 import tomllib
 from pathlib import Path
 
-from standins.program import running
+from standins.program import running_sidecar
 from tests.sidecar_support import SETUP, Client, FakeServer, listing, row, run
 
 ROOT = Path(__file__).parent.parent
@@ -56,7 +56,7 @@
             "known": json.loads(listing(1, True, row("s-0", fake.address))),
         }  # fmt: skip
         command = [sys.executable, "-m", "tests.restricted_sidecar"]
-        async with running(tmp_path, document, command=command) as (process, host, port):
+        async with running_sidecar(tmp_path, document, command=command) as (process, host, port):
             client = Client(*await asyncio.open_connection(host, port))
             client.send()
             (await fake.next()).reply()
--- a/tests/thrift/test_hard.py
+++ b/tests/thrift/test_hard.py
@@ -14,7 +14,7 @@
 from eiderhub.protocols.thrift.framing import framed
 from eiderhub.protocols.thrift.replies import LOAD_SHEDDING
 from eiderhub.sidecar import callers
-from tests.sidecar_support import Sidecar, leave, run
+from tests.sidecar_support import Sidecar, disconnect, run
 from tests.thrift.peers import SHED, AskedThrift, ThriftClient, ThriftFake
 from tests.thrift.values import apache
 
@@ -196,7 +196,7 @@
             for _ in range(3):
                 client.send("pay")
             await asked(world)
-            leave(client.writer, how)
+            disconnect(client.writer, how)
             await world.endpoints[0].ends.get()  # what was out has been called off
             assert not world.host.requests and not world.host.balancer.calls
             assert world.host.budget.used == 0
--- a/tests/thrift/test_program.py
+++ b/tests/thrift/test_program.py
@@ -11,7 +11,7 @@
 
 from eiderhub.protocols.thrift.definitions import Encoding, ExceptionType
 from standins.discovery import row
-from standins.program import running
+from standins.program import running_sidecar
 from tests.sidecar_support import SETUP, run
 from tests.thrift.peers import AskedThrift, ThriftClient, ThriftFake
 
@@ -54,7 +54,7 @@
     async def test() -> None:
         fake = ThriftFake()
         await fake.start()
-        async with running(tmp_path, document(fake), OPERATOR) as (process, _, _):
+        async with running_sidecar(tmp_path, document(fake), OPERATOR) as (process, _, _):
             port = logged_port(tmp_path)
             busy, idle = [await ThriftClient.connect(port, encoding) for _ in range(2)]
             idle.send("Invoice:issue")
@@ -79,7 +79,7 @@
     async def test() -> None:
         fake = ThriftFake()
         await fake.start()
-        async with running(tmp_path, document(fake), OPERATOR) as (process, _, _):
+        async with running_sidecar(tmp_path, document(fake), OPERATOR) as (process, _, _):
             client = await ThriftClient.connect(logged_port(tmp_path), Encoding.BINARY)
             client.send("Refund:issue")
             assert (await client.answer()).kind == ExceptionType.UNKNOWN_METHOD
