--- a/benchmarks/fleet/flood.py
+++ b/benchmarks/fleet/flood.py
@@ -67,7 +67,7 @@
             for flooded in random.Random(number).sample((False, True), 2):
                 tally, sent = await run_round(rig, flooded)
                 junk += sent
-                unserved += tally.answers.total() - tally.served
+                unserved += tally.status_counts.total() - tally.served
                 percentiles = statistics.quantiles(tally.latencies_s, n=100)
                 latencies_ms[flooded] = (percentiles[49] * 1000, percentiles[98] * 1000)
             rows.append((*latencies_ms[False], *latencies_ms[True]))
--- a/standins/http.py
+++ b/standins/http.py
@@ -1,4 +1,4 @@
-"""Reading and writing whole HTTP/1.1 messages: only as much of it as the stand-ins send one another."""
+"""Reads and formats complete HTTP/1.1 messages: only the subset that the stand-ins and their callers need."""
 
 from __future__ import annotations
 
@@ -8,43 +8,45 @@
 
 
 class Message:
-    """A whole HTTP message read off a connection."""
+    """A complete HTTP request or response."""
 
-    def __init__(self, first: bytes, headers: dict[str, str], body: bytes) -> None:
-        self.first = first.decode()
-        self.headers = headers
+    def __init__(self, start_line: bytes, headers: dict[str, str], body: bytes) -> None:
+        self.start_line = start_line.decode()
+        self.headers = headers  # with names in lower case
         self.body = body
 
     @property
     def status(self) -> int:
-        return int(self.first.split(" ")[1])
+        return int(self.start_line.split(" ")[1])
 
     @property
     def method(self) -> str:
-        return self.first.split(" ")[0]
+        return self.start_line.split(" ")[0]
 
     @property
     def target(self) -> str:
-        return self.first.split(" ")[1]
+        return self.start_line.split(" ")[1]
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
-    """The next message; raises IncompleteReadError or ConnectionError where none comes."""
+    """Return the next message. Raises IncompleteReadError or ConnectionError if the connection ends before it."""
     head = await reader.readuntil(b"\r\n\r\n")
-    first, *lines = head[:-4].split(b"\r\n")
+    start_line, *lines = head[:-4].split(b"\r\n")
     headers = {}
     for line in lines:
         name, _, value = line.decode().partition(": ")
         headers[name.lower()] = value
-    return Message(first, headers, await reader.readexactly(int(headers.get("content-length", "0"))))
+    return Message(start_line, headers, await reader.readexactly(int(headers.get("content-length", "0"))))
 
 
 def format_response(status: int, body: bytes = b"", *headers: str) -> bytes:
+    """Return a complete response; `headers` are whole lines, "Name: value"."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
 def format_request(method: str, target: str, headers: dict[str, str], body: bytes = b"") -> bytes:
+    """Return a complete request, with Content-Length unless the method is GET."""
     lines = [f"{method} {target} HTTP/1.1", *(f"{name}: {value}" for name, value in headers.items())]
     if method != "GET":
         lines.append(f"Content-Length: {len(body)}")
@@ -52,7 +54,7 @@
 
 
 def disconnect(writer: asyncio.StreamWriter, how: str) -> None:
-    """End a caller's connection: `close`, `half close` or `reset`."""
+    """End a caller's connection: `how` is "close", "half close" (of the sending side) or "reset"."""
     if how == "half close":
         writer.write_eof()
     elif how == "close":
--- a/standins/server.py
+++ b/standins/server.py
@@ -1,4 +1,4 @@
-"""What the stand-ins that answer HTTP share: a port of their own, connections, and an end to all of them."""
+"""The base class of the stand-ins that serve HTTP: listens on a free port, reads requests and closes connections."""
 
 from __future__ import annotations
 
@@ -8,22 +8,24 @@
 
 
 class HttpServer:
-    """A server on a free loopback port; `reply` makes each answer."""
+    """An HTTP server on a free loopback port; subclasses implement `reply`."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def listen(self) -> None:
+        """Start listening and set `address` to "host:port"."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
     def stop(self) -> None:
-        """Take no new connection, and end those that are open."""
+        """Stop listening and close the open connections."""
         self.server.close()
         for task in self._tasks:
             task.cancel()
 
     async def reply(self, message: Message) -> bytes:
+        """Return the complete response to a request, as it goes on the wire."""
         raise NotImplementedError
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/config/serving.py
+++ b/tests/config/serving.py
@@ -122,5 +122,5 @@
     writer.close()
     if answer.status in (502, 503, 504) and time.monotonic() - begun > way.grade.objective_us / 1e6 - MARGIN_S:
         return False
-    assert (answer.status, answer.body) == (200, way.target.encode()), (way, answer.first, answer.body)
+    assert (answer.status, answer.body) == (200, way.target.encode()), (way, answer.start_line, answer.body)
     return True
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -24,10 +24,10 @@
             sidecar.watcher.change_address(host, int(port))
             await sidecar.discovery.ends.get()  # the old watch is closed
             received = await other_discovery.next()
-            assert received.message.first == "GET /discovery/hosts HTTP/1.1"
+            assert received.message.start_line == "GET /discovery/hosts HTTP/1.1"
             assert all(pool.ready for pool in sidecar.host.upstream.pools.values())
             received.reply(200, listing(4, True, row("s-0", remaining.address)))
-            assert (await other_discovery.next()).message.first.startswith("GET /discovery/hosts?after=4&")
+            assert (await other_discovery.next()).message.start_line.startswith("GET /discovery/hosts?after=4&")
             client = await sidecar.client()
             await assert_all_go_to(remaining, client)
             assert removed.received.empty()
@@ -59,9 +59,9 @@
             for _ in range(3):  # in a row, before any answer
                 watcher.change_address(watcher.host, watcher.port)
             received = await sidecar.discovery.next()
-            assert received.message.first == "GET /discovery/hosts HTTP/1.1"
+            assert received.message.start_line == "GET /discovery/hosts HTTP/1.1"
             received.reply(200, listing(2, True, row("s-0", sidecar.endpoints[0].address)))
-            assert (await sidecar.discovery.next()).message.first.startswith("GET /discovery/hosts?after=2&")
+            assert (await sidecar.discovery.next()).message.start_line.startswith("GET /discovery/hosts?after=2&")
             assert sidecar.discovery.received.empty()
 
     run(test())
@@ -111,7 +111,7 @@
             config_path.write_text(json.dumps({**json.loads(config_path.read_text()), "discovery": discovery.address}))
             running.process.send_signal(signal.SIGHUP)
             received = await discovery.next()
-            assert received.message.first == "GET /discovery/hosts HTTP/1.1"
+            assert received.message.start_line == "GET /discovery/hosts HTTP/1.1"
             received.reply(200, listing(1, False, row("s-9", other_endpoint.address)))
             await discovery.next()
             client.send()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -369,7 +369,7 @@
             document = json.loads(path.read_text(encoding="utf-8"))
             path.write_text(json.dumps({**document, "discovery": other_discovery.address}), encoding="utf-8")
             running.process.send_signal(signal.SIGHUP)
-            assert (await other_discovery.next()).message.first == "GET /discovery/hosts HTTP/1.1"
+            assert (await other_discovery.next()).message.start_line == "GET /discovery/hosts HTTP/1.1"
 
     run(test())
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -66,7 +66,7 @@
             client = await sidecar.client()
             client.send("hold", deadline_ms=900, body=b"\x00\x01two", request_id="00aa")
             received = await sidecar.endpoints[0].next()
-            assert received.message.first == "POST /hold/a?b=1 HTTP/1.1"
+            assert received.message.start_line == "POST /hold/a?b=1 HTTP/1.1"
             assert received.message.headers["host"] == "service.internal"
             assert received.message.headers["req-id"] == "00aa"
             assert received.message.headers["idempotency-key"] == "k1"
@@ -189,10 +189,10 @@
         async with Sidecar() as sidecar:
             assert await readiness_status(await sidecar.client()) == 200
             received = await sidecar.discovery.next()
-            assert received.message.first.startswith("GET /discovery/hosts?after=1&wait_ms=")
+            assert received.message.start_line.startswith("GET /discovery/hosts?after=1&wait_ms=")
             received.reply(200, listing(4, False))
             next_poll = await sidecar.discovery.next()
-            assert next_poll.message.first.startswith("GET /discovery/hosts?after=4&")
+            assert next_poll.message.start_line.startswith("GET /discovery/hosts?after=4&")
             assert next_poll.connection == received.connection
 
     run(test())
@@ -225,7 +225,7 @@
             started_at = time.monotonic()
             next_poll = await sidecar.discovery.next()
             assert time.monotonic() - started_at > 0.2  # it does not retry in a tight loop
-            assert next_poll.message.first.startswith("GET /discovery/hosts?after=1&")
+            assert next_poll.message.start_line.startswith("GET /discovery/hosts?after=1&")
             client = await sidecar.client()
             client.send()
             (await sidecar.endpoints[0].next()).reply()
@@ -239,7 +239,7 @@
         async with Sidecar(Discovery="push") as sidecar:
             (await sidecar.discovery.next()).reply(503, b"")
             (await sidecar.discovery.next()).reply(200, listing(2, False))
-            assert (await sidecar.discovery.next()).message.first.startswith("GET /discovery/hosts?after=2&")
+            assert (await sidecar.discovery.next()).message.start_line.startswith("GET /discovery/hosts?after=2&")
 
     run(test())
 
--- a/tests/test_smuggling.py
+++ b/tests/test_smuggling.py
@@ -73,7 +73,7 @@
             client = await sidecar.client()
             client.writer.write(at(target).encode())
             asked = await sidecar.endpoints[0].next()
-            assert asked.message.first == f"GET {target} HTTP/1.1"
+            assert asked.message.start_line == f"GET {target} HTTP/1.1"
             asked.reply()
             assert (await client.answer()).status == 200
 
@@ -147,7 +147,7 @@
             sidecar.host.reload(replace(sidecar.config, plan=changed))
             new.writer.write(at("/cart/b").replace("Req-Id: 1", "Req-Id: 2").encode())
             other = await sidecar.next()
-            assert other.message.first.startswith("GET /cart/b")
+            assert other.message.start_line.startswith("GET /cart/b")
             asked.reset()
             assert (await old.answer()).status == 502
             other.reply()
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -38,7 +38,7 @@
             await stop_responding(await sidecar.discovery.next(), how)
             recheck = await sidecar.discovery.next()
             assert recheck.connection == 1  # data that still comes on the old connection is ignored
-            assert recheck.message.first.startswith("GET /discovery/hosts?after=1&wait_ms=0 ")
+            assert recheck.message.start_line.startswith("GET /discovery/hosts?after=1&wait_ms=0 ")
             recheck.reply(200, listing(2, False, row("s-1", draining.address, "draining")))
             await sidecar.discovery.next()
             client = await sidecar.client()
@@ -60,7 +60,7 @@
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(sidecar.discovery.ends.get(), 0.02)
                     break
-            assert "wait_ms=0" in (await sidecar.discovery.next()).message.first
+            assert "wait_ms=0" in (await sidecar.discovery.next()).message.start_line
 
     run(test())
 
@@ -72,10 +72,10 @@
             old = row("s-0", sidecar.endpoints[0].address, "draining")
             (await sidecar.discovery.next()).reply(200, listing(3, False, old))
             request = await sidecar.discovery.next()
-            assert request.message.first == "GET /discovery/hosts HTTP/1.1"
+            assert request.message.start_line == "GET /discovery/hosts HTTP/1.1"
             assert list(sidecar.host.upstream.pools) == ["s-0"]  # the changes of an older version have not been applied
             request.reply(200, listing(4, True, row("s-0", sidecar.endpoints[0].address)))
-            assert "after=4&" in (await sidecar.discovery.next()).message.first
+            assert "after=4&" in (await sidecar.discovery.next()).message.start_line
 
     run(test())
 
@@ -91,7 +91,7 @@
 
             monkeypatch.setattr(sidecar.host.upstream, "remove_endpoint", fail)
             request.reply(200, listing(2, True))
-            assert "after=1&" in (await sidecar.discovery.next()).message.first
+            assert "after=1&" in (await sidecar.discovery.next()).message.start_line
 
     run(test())
 
@@ -106,9 +106,9 @@
             sidecar.watcher.change_address(host, int(port))
             await other.next()
             retry = await other.next()
-            assert (retry.connection, retry.message.first) == (1, "GET /discovery/hosts HTTP/1.1")
+            assert (retry.connection, retry.message.start_line) == (1, "GET /discovery/hosts HTTP/1.1")
             retry.reply(200, listing(4, True, row("s-0", sidecar.endpoints[0].address)))
-            assert "after=4&" in (await other.next()).message.first
+            assert "after=4&" in (await other.next()).message.start_line
 
     run(test())
 
@@ -138,12 +138,12 @@
             await stop_both_endpoints(sidecar)
             poll = await sidecar.discovery.next()
             assert poll.connection != watch.connection
-            assert poll.message.first.startswith("GET /discovery/hosts?after=1&wait_ms=0 ")
+            assert poll.message.start_line.startswith("GET /discovery/hosts?after=1&wait_ms=0 ")
             removed = [row(f"s-{i}", fake.address, "gone") for i, fake in enumerate(sidecar.endpoints)]
             poll.reply(200, listing(5, False, *removed, row("s-9", replacement.address)))
             new_watch = await sidecar.discovery.next()
-            assert "after=5&" in new_watch.message.first
-            assert "wait_ms=0 " not in new_watch.message.first
+            assert "after=5&" in new_watch.message.start_line
+            assert "wait_ms=0 " not in new_watch.message.start_line
             ended = {await sidecar.discovery.ends.get() for _ in range(2)}
             assert ended == {watch.connection, poll.connection}  # data that still comes on them is ignored
             await assert_all_go_to(replacement, await sidecar.client())
@@ -200,12 +200,12 @@
             poll = await sidecar.discovery.next()
             watch.reply(200, listing(3, False))
             full_poll = await sidecar.discovery.next()
-            assert full_poll.message.first == "GET /discovery/hosts HTTP/1.1"
+            assert full_poll.message.start_line == "GET /discovery/hosts HTTP/1.1"
             poll.reply(200, listing(8, False, row("s-9", replacement.address)))
             assert await sidecar.discovery.ends.get() == poll.connection
             assert sidecar.host.upstream.pools.keys() == {"s-0", "s-1"}
             full_poll.reply(200, listing(8, True, row("s-9", replacement.address)))
-            assert "after=8&" in (await sidecar.discovery.next()).message.first
+            assert "after=8&" in (await sidecar.discovery.next()).message.start_line
             assert sidecar.host.upstream.pools.keys() == {"s-9"}
 
     run(test())
@@ -226,7 +226,7 @@
 
             monkeypatch.setattr(sidecar.host.upstream, "remove_endpoint", fail)
             poll.reply(200, listing(2, True))
-            assert "after=1&" in (await sidecar.discovery.next()).message.first
+            assert "after=1&" in (await sidecar.discovery.next()).message.start_line
             gc.collect()
             assert errors == []
 
