--- a/benchmarks/proxy.py
+++ b/benchmarks/proxy.py
@@ -1,13 +1,13 @@
-"""What the sidecar costs against a bare byte relay on the same loop, with the same load, in one run.
+"""The sidecar's cost per request compared with a bare byte relay on the same event loop, in one run.
 
-    python -m benchmarks.proxy                     # the relay, the sidecar plain, and with 1,000 routes
-    python -m benchmarks.proxy --against DIR       # also the program of another checkout, plain
+    python -m benchmarks.proxy                     # the relay, the sidecar plain routes, and with 1,000 routes
+    python -m benchmarks.proxy --against DIR       # also the program of another checkout, plain routes
 
-A pool of callers sends one request after another over kept connections to each program in turn, in short rounds in
-a drawn order, so that what else the machine does falls on all of them alike. CPU is that of the program's main thread.
+A pool of callers sends one request after another over reused connections to each program, in short rounds in random
+order, so that other load on the machine affects all programs alike. CPU time is that of the program's main thread.
 
-Two processes of one text differ by some percent for their memory's layout alone ("the same again" shows by how much).
-What routes cost is therefore measured within one process, which a reload gives them and takes them away again.
+Two processes of the same code differ by some percent because of their memory layout ("same again" shows by how much).
+The cost of routes is therefore measured within one process, where reloads add and remove them.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 CALLERS = 16
 ROUTES = 1000
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 DESCRIPTION = """\
 name = "bench"
 listen = "127.0.0.1:7070"
@@ -53,29 +53,29 @@
 """
 
 
-class Answering(asyncio.Protocol):
-    """The fastest endpoint there is: one canned answer for each head that ends."""
+class CannedServer(asyncio.Protocol):
+    """A minimal endpoint: sends a canned response for each end of a request head."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport: asyncio.WriteTransport = transport  # type: ignore[assignment]
 
     def data_received(self, data: bytes) -> None:
-        self.transport.write(ANSWER * data.count(b"\r\n\r\n"))
+        self.transport.write(RESPONSE * data.count(b"\r\n\r\n"))
 
 
 @dataclass
 class Subject:
-    """One program under load, and what it took."""
+    """A program under load, and its measurements."""
 
     name: str
     pid: int
     address: tuple[str, int]
-    cpu_us: list[float] = field(default_factory=list)  # for a request, by round
+    cpu_us: list[float] = field(default_factory=list)  # per request, by round
     rates: list[float] = field(default_factory=list)
     latencies_us: list[float] = field(default_factory=list)
 
     def cpu_s(self) -> float:
-        """CPU that the program's main thread has had, to the nanosecond: `stat` counts whole ticks."""
+        """Return the main thread's CPU time, from `schedstat` in nanoseconds: `stat` counts whole ticks."""
         return int(Path(f"/proc/{self.pid}/schedstat").read_text().split()[0]) / 1e9
 
     def resident_mb(self) -> float:
@@ -86,43 +86,43 @@
 
 
 class Caller(asyncio.Protocol):
-    """One caller: a request as soon as the last is answered."""
+    """Sends a request as soon as the previous one is answered."""
 
     def __init__(self, subject: Subject, number: int, done: asyncio.Event) -> None:
         self.subject = subject
         self.number = number
         self.done = done
-        self.left = 0
-        self.serial = 0
+        self.remaining = 0
+        self.request_number = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport: asyncio.WriteTransport = transport  # type: ignore[assignment]
 
     def begin(self, count: int) -> None:
-        self.left = count
+        self.remaining = count
         self._send()
 
     def _send(self) -> None:
-        self.serial += 1
-        self.sent = time.perf_counter_ns()
+        self.request_number += 1
+        self.sent_ns = time.perf_counter_ns()
         self.transport.write(
             b"GET /look/part-%d/item?x=1 HTTP/1.1\r\nHost: a\r\nReq-Id: %x-%x\r\nReq-Owner: acme\r\n"
-            b"Req-Deadline-Ms: 9000\r\n\r\n" % (self.serial % 1000, self.number, self.serial)
+            b"Req-Deadline-Ms: 9000\r\n\r\n" % (self.request_number % 1000, self.number, self.request_number)
         )
 
     def data_received(self, data: bytes) -> None:
         if not data.startswith(b"HTTP/1.1 200"):
             raise SystemExit(f"{self.subject.name}: {data[:200]!r}")
-        self.subject.latencies_us.append((time.perf_counter_ns() - self.sent) / 1000)
-        self.left -= 1
-        if self.left:
+        self.subject.latencies_us.append((time.perf_counter_ns() - self.sent_ns) / 1000)
+        self.remaining -= 1
+        if self.remaining:
             self._send()
         else:
             self.done.set()
 
 
-async def load(subject: Subject, requests: int) -> None:
-    """One round: so many requests over `CALLERS` connections."""
+async def run_round(subject: Subject, requests: int) -> None:
+    """Send `requests` requests over `CALLERS` connections and record the measurements."""
     loop = asyncio.get_running_loop()
     events = [asyncio.Event() for _ in range(CALLERS)]
     callers = []
@@ -133,20 +133,21 @@
             *subject.address,
         )
         callers.append(caller)
-    cpu, begun = subject.cpu_s(), time.perf_counter()
+    cpu_before, started_at = subject.cpu_s(), time.perf_counter()
     for caller in callers:
         caller.begin(requests // CALLERS)
     for event in events:
         await event.wait()
     sent = requests // CALLERS * CALLERS
-    subject.rates.append(sent / (time.perf_counter() - begun))
-    subject.cpu_us.append((subject.cpu_s() - cpu) / sent * 1e6)
+    subject.rates.append(sent / (time.perf_counter() - started_at))
+    subject.cpu_us.append((subject.cpu_s() - cpu_before) / sent * 1e6)
     for caller in callers:
         caller.transport.close()
 
 
 @asynccontextmanager
 async def relay(target: str) -> AsyncIterator[tuple[int, tuple[str, int]]]:
+    """Run a relay process and yield its process id and address."""
     host, port = free_address()
     process = subprocess.Popen([sys.executable, "-m", "benchmarks.relay", f"{host}:{port}", target])
     try:
@@ -164,112 +165,118 @@
         process.wait()
 
 
-def routes(count: int) -> str:
-    """So many routes, all of a class, beside the first-part rule; every request of the load meets one of them."""
+def route_tables(count: int) -> str:
+    """Return the operator's file with `count` routes of one class; every request of the benchmark matches one."""
     text = ""
     for i in range(count):
         text += f'[[routes]]\nname = "r{i}"\nclass = "look"\npath = "/look/part-{i}/{{item}}"\n\n'
     return text
 
 
-def documents(address: str) -> dict[str, object]:
+def sidecar_document(address: str) -> dict[str, object]:
+    """Return the platform's document with endpoints at `address`."""
     with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
         file.write(DESCRIPTION)
         file.flush()
-        made = outcome(file.name)
-    document: dict[str, object] = json.loads(made.files["bench/sidecar.json"])
-    known = [row(f"s-{i}", address) for i in range(4)]  # one server under four ids: pools as in service
-    return {**document, "known": {"generation": 1, "reset": True, "instances": known}}
+        generated = outcome(file.name)
+    written: dict[str, object] = json.loads(generated.files["bench/sidecar.json"])
+    known = [
+        row(f"s-{i}", address) for i in range(4)
+    ]  # four ids of one server, for several connection pools as in a deployment
+    return {**written, "known": {"generation": 1, "reset": True, "instances": known}}
 
 
 async def measure(against: str | None, rounds: int, requests: int) -> None:
     loop = asyncio.get_running_loop()
-    server = await loop.create_server(Answering, "127.0.0.1", 0)
+    server = await loop.create_server(CannedServer, "127.0.0.1", 0)
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-    document = documents(address)
+    document = sidecar_document(address)
     async with AsyncExitStack() as stack:
         subjects = []
-        pid, where = await stack.enter_async_context(relay(address))
-        subjects.append(Subject("byte relay", pid, where))
-        plans: list[tuple[str, str | None, Sequence[str]]] = [
-            ("sidecar, plain", None, ()),
-            ("the same again", None, ()),
+        pid, relay_address = await stack.enter_async_context(relay(address))
+        subjects.append(Subject("byte relay", pid, relay_address))
+        variants: list[tuple[str, str | None, Sequence[str]]] = [
+            ("sidecar plain routes", None, ()),
+            ("same again", None, ()),
         ]
         if against:
             code = f"import sys; sys.path[0] = {against!r}; from eiderhub.sidecar.__main__ import main; main()"
-            plans.insert(1, ("the other checkout, plain", None, (sys.executable, "-c", code)))
-        for name, operator, command in plans:
+            variants.insert(1, ("other checkout", None, (sys.executable, "-c", code)))
+        for name, operator, command in variants:
             folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
             process, host, port = await stack.enter_async_context(running_sidecar(folder, document, operator, command))
             await wait_ready(host, port)
             subjects.append(Subject(name, process.pid, (host, port)))
-        for subject in subjects:  # warm up, and forget it
-            await load(subject, requests // 4)
+        for subject in subjects:  # warm-up, not recorded
+            await run_round(subject, requests // 4)
             subject.cpu_us.clear()
             subject.rates.clear()
             subject.latencies_us.clear()
-        chance = random.Random(1)
+        rng = random.Random(1)
         for _ in range(rounds):
-            for subject in chance.sample(subjects, len(subjects)):
-                await load(subject, requests)
+            for subject in rng.sample(subjects, len(subjects)):
+                await run_round(subject, requests)
         report(subjects)
         await measure_routes(stack, document, rounds, requests)
     server.close()
 
 
 async def measure_routes(stack: AsyncExitStack, document: dict[str, object], rounds: int, requests: int) -> None:
-    """One process, with no routes and with 1,000 by turns."""
+    """Measure one process alternately plain routes and with 1,000."""
     folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
-    texts = ("", routes(ROUTES))
+    texts = ("", route_tables(ROUTES))
     process, host, port = await stack.enter_async_context(running_sidecar(folder, document, texts[0]))
-    sides = [Subject(name, process.pid, (host, port)) for name in ("no routes", f"{ROUTES} routes")]
-    taken = 0
-    for number in range(rounds + 1):
-        for side, text in list(zip(sides, texts, strict=True))[:: -1 if number % 2 else 1]:
+    subjects = [Subject(name, process.pid, (host, port)) for name in ("no routes", f"{ROUTES} routes")]
+    reloads = 0
+    for round_number in range(rounds + 1):
+        for subject, text in list(zip(subjects, texts, strict=True))[:: -1 if round_number % 2 else 1]:
             (folder / "operator.toml").write_text(text)
             process.send_signal(signal.SIGHUP)
-            taken += 1
-            await reloaded(folder, taken)
-            await load(side, requests)
-        if not number:  # warm up, and forget it
-            for side in sides:
-                side.cpu_us.clear()
-                side.latencies_us.clear()
-    ratios = [b / a for a, b in zip(sides[0].cpu_us, sides[1].cpu_us, strict=True)]
-    cuts = statistics.quantiles(ratios, n=4)
+            reloads += 1
+            await wait_for_reloads(folder, reloads)
+            await run_round(subject, requests)
+        if not round_number:  # warm-up, not recorded
+            for subject in subjects:
+                subject.cpu_us.clear()
+                subject.latencies_us.clear()
+    ratios = [routed / plain for plain, routed in zip(subjects[0].cpu_us, subjects[1].cpu_us, strict=True)]
+    quartiles = statistics.quantiles(ratios, n=4)
     print(
-        f"\n{ROUTES} routes against none, one process: CPU a request x {cuts[1]:.3f} (quartiles {cuts[0]:.3f} to "
-        f"{cuts[2]:.3f}, {rounds} pairs of rounds)"
+        f"\n{ROUTES} routes compared with none, one process: CPU per request x {quartiles[1]:.3f} "
+        f"(quartiles {quartiles[0]:.3f} to {quartiles[2]:.3f}, {rounds} pairs of rounds)"
     )
 
 
-async def reloaded(folder: Path, times: int) -> None:
-    """Until the program has said so often that it has taken a configuration."""
+async def wait_for_reloads(folder: Path, count: int) -> None:
+    """Wait until the program has logged `count` reloads."""
     async with asyncio.timeout(30):
-        while (folder / "log.txt").read_bytes().count(b"the configuration is taken") < times:
+        while (folder / "log.txt").read_bytes().count(b"the configuration is taken") < count:
             await asyncio.sleep(0.02)
 
 
 def report(subjects: list[Subject]) -> None:
-    base, plain = subjects[:2]
-    print(f"{'':<26} {'req/s':>7} {'CPU/req':>9} {'x relay':>8} {'x plain':>8} {'median':>9} {'99th':>9} {'memory':>8}")
+    relay_subject, sidecar = subjects[:2]
+    print(
+        f"{'':<26} {'req/s':>7} {'CPU/req':>9} {'x relay':>8} {'x sidecar':>9} {'median':>9} {'99th':>9} {'memory':>8}"
+    )
     for subject in subjects:
-        cpu = statistics.median(subject.cpu_us)
-        cuts = statistics.quantiles(subject.latencies_us, n=100)
-        # Round by round: both sides of a ratio then met the same moment of the machine.
-        ratio = statistics.median(a / b for a, b in zip(subject.cpu_us, base.cpu_us, strict=True))
-        other = statistics.median(a / b for a, b in zip(subject.cpu_us, plain.cpu_us, strict=True))
+        median_cpu_us = statistics.median(subject.cpu_us)
+        percentiles = statistics.quantiles(subject.latencies_us, n=100)
+        # Ratios are taken within a round, where both programs met the same load of the machine.
+        relay_ratio = statistics.median(a / b for a, b in zip(subject.cpu_us, relay_subject.cpu_us, strict=True))
+        sidecar_ratio = statistics.median(a / b for a, b in zip(subject.cpu_us, sidecar.cpu_us, strict=True))
         print(
-            f"{subject.name:<26} {statistics.median(subject.rates):>7.0f} {cpu:>6.1f} us {ratio:>8.2f} {other:>8.3f} "
-            f"{cuts[49]:>6.0f} us {cuts[98]:>6.0f} us {subject.resident_mb():>5.1f} MB"
+            f"{subject.name:<26} {statistics.median(subject.rates):>7.0f} {median_cpu_us:>6.1f} us "
+            f"{relay_ratio:>8.2f} {sidecar_ratio:>9.3f} "
+            f"{percentiles[49]:>6.0f} us {percentiles[98]:>6.0f} us {subject.resident_mb():>5.1f} MB"
         )
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(prog="python -m benchmarks.proxy", description=__doc__)
-    parser.add_argument("--against", metavar="DIR", help="another checkout, measured beside this one")
+    parser.add_argument("--against", metavar="DIR", help="another checkout to measure in the same run")
     parser.add_argument("--rounds", type=int, default=40)
-    parser.add_argument("--requests", type=int, default=1600, help="of one round")
+    parser.add_argument("--requests", type=int, default=1600, help="per round")
     options = parser.parse_args()
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(measure(options.against, options.rounds, options.requests))
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,4 +1,4 @@
-"""A bare byte relay on the sidecar's loop: the least that anything between a caller and an endpoint can cost."""
+"""A bare byte relay on the sidecar's event loop: the minimum cost of any proxy between a caller and an endpoint."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 import uvloop
 
 
-class Side(asyncio.Protocol):
-    """One end of a pair; what comes in goes out at the other."""
+class Connection(asyncio.Protocol):
+    """One connection of a pair; writes what it receives to the other one."""
 
     def __init__(self, target: tuple[str, int] | None) -> None:
         self.target = target
-        self.other: Side | None = None
-        self.early: list[bytes] = []
+        self.other: Connection | None = None
+        self.buffered: list[bytes] = []  # received before the other connection was open
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport: asyncio.WriteTransport = transport  # type: ignore[assignment]
@@ -22,13 +22,13 @@
             self.task = asyncio.get_running_loop().create_task(self.connect(*self.target))
 
     async def connect(self, host: str, port: int) -> None:
-        _, other = await asyncio.get_running_loop().create_connection(lambda: Side(None), host, port)
+        _, other = await asyncio.get_running_loop().create_connection(lambda: Connection(None), host, port)
         other.other, self.other = self, other
-        other.transport.writelines(self.early)
+        other.transport.writelines(self.buffered)
 
     def data_received(self, data: bytes) -> None:
         if self.other is None:
-            self.early.append(data)
+            self.buffered.append(data)
         else:
             self.other.transport.write(data)
 
@@ -38,9 +38,10 @@
 
 
 async def serve(listen: str, target: str) -> None:
-    (host, _, port), (to, _, to_port) = listen.rpartition(":"), target.rpartition(":")
+    """Relay connections to `listen` to `target`; both are "host:port"."""
+    (host, _, port), (target_host, _, target_port) = listen.rpartition(":"), target.rpartition(":")
     loop = asyncio.get_running_loop()
-    server = await loop.create_server(lambda: Side((to, int(to_port))), host, int(port))
+    server = await loop.create_server(lambda: Connection((target_host, int(target_port))), host, int(port))
     await server.serve_forever()
 
 
