--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -1,9 +1,9 @@
-"""What reading a request and finding its class costs, without routes and with 1,000, in one process.
+"""The cost of admitting a request and finding its class, without routes and with 1,000, in one process.
 
     python -m benchmarks.admission
 
-The least of many short rounds, taken by turns: on a busy machine the least is what the code needs, and the rest is the
-machine. `benchmarks.proxy` has the sidecar's whole CPU for a request, to hold it against.
+Prints the minimum of many short rounds, which alternate between both: on a busy machine the minimum is closest to what
+the code itself needs. For comparison, `benchmarks.proxy` measures the sidecar's whole CPU time per request.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 )
 
 
-def requests() -> list[IncomingRequest]:
+def make_requests() -> list[IncomingRequest]:
     headers = [(b"Host", b"a"), (b"Req-Owner", b"acme"), (b"Req-Deadline-Ms", b"9000"), (b"Cookie", b"key=77")]
     return [
         IncomingRequest(b"GET", b"/look/part-%d/item?x=1" % i, [*headers, (b"Req-Id", b"%x" % i)], b"", True, 0)
@@ -35,15 +35,15 @@
     ]
 
 
-def spent(server: Server, host: Any, chosen: Plan, asked: list[IncomingRequest]) -> float:
-    """Microseconds for one request."""
-    host.plan = chosen
+def measure(server: Server, host: Any, request_plan: Plan, incoming_requests: list[IncomingRequest]) -> float:
+    """Return the microseconds per request."""
+    host.plan = request_plan
     server.callers.open_request_ids.clear()
     caller = Mock()
-    begun = time.perf_counter()
-    for incoming in asked:
+    started_at = time.perf_counter()
+    for incoming in incoming_requests:
         server.admit(caller, incoming)
-    return (time.perf_counter() - begun) / len(asked) * 1e6
+    return (time.perf_counter() - started_at) / len(incoming_requests) * 1e6
 
 
 def main() -> None:
@@ -51,16 +51,16 @@
     server = Server(host, Callers(100, 3.0, ByteBudget(1 << 20)))
     routes = [Route(f"r{i}", "look", read_pattern(f"/look/part-{i}/{{item}}")) for i in range(ROUTES)]
     plans = {"no routes": plain(SETTINGS), f"{ROUTES} routes": plan(SETTINGS, routes, {})}
-    asked = requests()
-    least = dict.fromkeys(plans, float("inf"))
+    incoming_requests = make_requests()
+    min_us = dict.fromkeys(plans, float("inf"))
     for _ in range(ROUNDS):
-        for name, chosen in plans.items():
-            least[name] = min(least[name], spent(server, host, chosen, asked))
-    without, with_routes = least.values()
-    for name, us in least.items():
-        print(f"{name:<12} {us:.2f} us a request")
-    more = with_routes - without
-    print(f"routes add {more:.2f} us, x {with_routes / without:.2f}")
+        for name, request_plan in plans.items():
+            min_us[name] = min(min_us[name], measure(server, host, request_plan, incoming_requests))
+    plain_us, routed_us = min_us.values()
+    for name, us in min_us.items():
+        print(f"{name:<12} {us:.2f} us per request")
+    added_us = routed_us - plain_us
+    print(f"routes add {added_us:.2f} us, x {routed_us / plain_us:.2f}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/caller_disconnects.py
+++ b/benchmarks/caller_disconnects.py
@@ -1,12 +1,12 @@
-"""Requests whose callers left while they waited: how many are sent on all the same, counted outside the sidecar.
+"""Counts queued requests that are still sent to an endpoint after their caller has disconnected.
 
-    python -m benchmarks.leaving [--seconds 20]
+    python -m benchmarks.caller_disconnects [--seconds 20]
 
-The real program before endpoints that are too slow for what is asked of them. Callers send one to three requests at
-once on a connection, wait a drawn moment and leave: by closing, by ending their sending alone, or by a reset. The
-endpoints note when each request came. A case is a request of which nothing had come to an endpoint when its caller
-left; it counts as sent on where it comes more than 0.3 s later. The operators fail a day on which over a quarter are,
-five at least; so does this.
+Runs the sidecar program with endpoints that are too slow for the load. Callers send one to three requests at once on a
+connection, wait a random time and disconnect: by a close, by a half close of their sending side, or by a reset. The
+endpoints record when each request arrived. A case is a request that had not arrived at an endpoint when its caller
+disconnected; it counts as sent on if it arrives more than 0.3 s later. The measurement fails if over a quarter of the
+cases, and at least five, are sent on: the operators use the same criterion for a day.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 from standins.program import running_sidecar
 
 LIMIT_S = 0.3
-FAILING_PART, FAILING_LEAST = 0.25, 5  # the operators' term
+FAILURE_SHARE, MIN_FAILURES = 0.25, 5  # the operators' criterion
 ENDPOINTS = 2
 CALLERS = 150
 WORK_S = 0.25
-HOW = ("close", "half close", "reset")
+DISCONNECTS = ("close", "half close", "reset")
 SETTINGS = {
     "Categories": [
         {"Name": "pay", "AimUs": 2_000_000, "DeadlineUs": 3_000_000, "Effect": "at_most_once", "LateShare": 0.5}
@@ -46,73 +46,80 @@
 
 
 class Case(NamedTuple):
-    """One request whose caller has left without an answer to it."""
+    """A request whose caller disconnected before its response."""
 
     request_id: str
     how: str
-    behind: bool  # it stood behind another of its connection
-    left: float
+    is_behind: bool  # it followed another unanswered request on its connection
+    disconnected_at: float
 
 
-class Noting(Endpoint):
-    """An endpoint that notes when each request came first."""
+class RecordingEndpoint(Endpoint):
+    """An endpoint that records when each request first arrived."""
 
-    came: dict[str, float]
+    arrivals: dict[str, float]
 
     async def reply(self, message: Message) -> bytes:
-        self.came.setdefault(message.headers["req-id"], time.monotonic())
+        self.arrivals.setdefault(message.headers["req-id"], time.monotonic())
         return await super().reply(message)
 
 
-async def call(address: tuple[str, int], name: int, chance: random.Random, until: float, cases: list[Case]) -> None:
-    """One caller after another: each sends, waits a moment, and leaves what has no answer by then."""
-    serial = 0
+async def call_repeatedly(
+    address: tuple[str, int], name: int, rng: random.Random, until: float, cases: list[Case]
+) -> None:
+    """Run one caller after another: each sends requests, waits a random time and disconnects if any are unanswered."""
+    round_number = 0
     while time.monotonic() < until:
-        serial += 1
-        how, ids = chance.choice(HOW), [f"{name}-{serial}-{i}" for i in range(chance.randint(1, 3))]
+        round_number += 1
+        how, request_ids = (
+            rng.choice(DISCONNECTS),
+            [f"{name}-{round_number}-{i}" for i in range(rng.randint(1, 3))],
+        )
         reader, writer = await asyncio.open_connection(*address)
-        for request_id in ids:
+        for request_id in request_ids:
             headers = {"Host": "a", "Req-Id": request_id, "Req-Deadline-Ms": "3000"}
             writer.write(format_request("POST", "/pay/a", headers, b"x"))
         answered = 0
         try:
-            async with asyncio.timeout(chance.uniform(0.0, 0.6)):
-                while answered < len(ids):
+            async with asyncio.timeout(rng.uniform(0.0, 0.6)):
+                while answered < len(request_ids):
                     await read_message(reader)
                     answered += 1
         except TimeoutError:
             disconnect(writer, how)
-            left = time.monotonic()
-            cases += [Case(ids[i], how, i > answered, left) for i in range(answered, len(ids))]
-            if how == "half close":  # the other side ends what is left of it
+            disconnected_at = time.monotonic()
+            cases += [
+                Case(request_ids[i], how, i > answered, disconnected_at) for i in range(answered, len(request_ids))
+            ]
+            if how == "half close":  # until the sidecar closes its side
                 await reader.read()
         writer.close()
 
 
-def tell(cases: list[Case], came: dict[str, float]) -> bool:
-    """Print what was seen by the way of leaving and the place; whether the operators' term is kept."""
-    waiting, late = Counter[tuple[str, bool]](), Counter[tuple[str, bool]]()
+def report(cases: list[Case], arrivals: dict[str, float]) -> bool:
+    """Print the counts by kind of disconnect and position; return whether the operators' criterion is met."""
+    cases_by, sent_on = Counter[tuple[str, bool]](), Counter[tuple[str, bool]]()
     for case in cases:
-        at = came.get(case.request_id)
-        if at is None or at > case.left:
-            waiting[case.how, case.behind] += 1
-            late[case.how, case.behind] += at is not None and at > case.left + LIMIT_S
-    for key in sorted(waiting):
-        place = "behind another" if key[1] else "first on its connection"
-        print(f"{key[0]:<11} {place:<24} {waiting[key]:>6} waited, {late[key]} sent on over {LIMIT_S} s later")
-    total, sent = waiting.total(), late.total()
-    print(f"all: {sent} of {total}")
-    return total > 0 and sent < max(FAILING_LEAST, FAILING_PART * total)
+        arrived_at = arrivals.get(case.request_id)
+        if arrived_at is None or arrived_at > case.disconnected_at:
+            cases_by[case.how, case.is_behind] += 1
+            sent_on[case.how, case.is_behind] += arrived_at is not None and arrived_at > case.disconnected_at + LIMIT_S
+    for key in sorted(cases_by):
+        position = "behind another" if key[1] else "first on its connection"
+        print(f"{key[0]:<11} {position:<24} {cases_by[key]:>6} cases, {sent_on[key]} sent on over {LIMIT_S} s later")
+    total, total_sent_on = cases_by.total(), sent_on.total()
+    print(f"all: {total_sent_on} of {total} sent on")
+    return total > 0 and total_sent_on < max(MIN_FAILURES, FAILURE_SHARE * total)
 
 
 async def measure(seconds: float) -> bool:
-    chance = random.Random(1)
-    came: dict[str, float] = {}
-    endpoints: list[Noting] = []
+    rng = random.Random(1)
+    arrivals: dict[str, float] = {}
+    endpoints: list[RecordingEndpoint] = []
     discovery = await Discovery().start()
     for i in range(ENDPOINTS):
-        endpoint = Noting(ExecutionLog(), Behaviour(work_s=lambda: WORK_S), chance)
-        endpoint.came = came
+        endpoint = RecordingEndpoint(ExecutionLog(), Behaviour(work_s=lambda: WORK_S), rng)
+        endpoint.arrivals = arrivals
         await endpoint.start()
         endpoints.append(endpoint)
         discovery.update(row(f"s-{i}", endpoint.address))
@@ -124,15 +131,15 @@
     with tempfile.TemporaryDirectory() as folder:
         async with running_sidecar(Path(folder), document) as (_, host, port):
             until = time.monotonic() + seconds
-            await asyncio.gather(*(call((host, port), i, chance, until, cases) for i in range(CALLERS)))
-            await asyncio.sleep(1.0)  # so that what is sent on late is seen
+            await asyncio.gather(*(call_repeatedly((host, port), i, rng, until, cases) for i in range(CALLERS)))
+            await asyncio.sleep(1.0)  # so that late arrivals are recorded
     for server in (discovery, *endpoints):
         server.stop()
-    return tell(cases, came)
+    return report(cases, arrivals)
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="python -m benchmarks.leaving", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m benchmarks.caller_disconnects", description=__doc__)
     parser.add_argument("--seconds", type=float, default=20.0)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return int(not runner.run(measure(parser.parse_args().seconds)))
--- a/benchmarks/proxy.py
+++ b/benchmarks/proxy.py
@@ -1,7 +1,7 @@
 """The sidecar's cost per request compared with a bare byte relay on the same event loop, in one run.
 
-    python -m benchmarks.proxy                     # the relay, the sidecar plain routes, and with 1,000 routes
-    python -m benchmarks.proxy --against DIR       # also the program of another checkout, plain routes
+    python -m benchmarks.proxy                     # the relay, the sidecar without routes, and with 1,000 routes
+    python -m benchmarks.proxy --against DIR       # also the program of another checkout, without routes
 
 A pool of callers sends one request after another over reused connections to each program, in short rounds in random
 order, so that other load on the machine affects all programs alike. CPU time is that of the program's main thread.
@@ -180,9 +180,8 @@
         file.flush()
         generated = outcome(file.name)
     written: dict[str, object] = json.loads(generated.files["bench/sidecar.json"])
-    known = [
-        row(f"s-{i}", address) for i in range(4)
-    ]  # four ids of one server, for several connection pools as in a deployment
+    # Four ids of one server: the sidecar keeps a connection pool for each, as in a deployment.
+    known = [row(f"s-{i}", address) for i in range(4)]
     return {**written, "known": {"generation": 1, "reset": True, "instances": known}}
 
 
@@ -196,7 +195,7 @@
         pid, relay_address = await stack.enter_async_context(relay(address))
         subjects.append(Subject("byte relay", pid, relay_address))
         variants: list[tuple[str, str | None, Sequence[str]]] = [
-            ("sidecar plain routes", None, ()),
+            ("sidecar without routes", None, ()),
             ("same again", None, ()),
         ]
         if against:
@@ -222,7 +221,7 @@
 
 
 async def measure_routes(stack: AsyncExitStack, document: dict[str, object], rounds: int, requests: int) -> None:
-    """Measure one process alternately plain routes and with 1,000."""
+    """Measure one process alternately without routes and with 1,000."""
     folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
     texts = ("", route_tables(ROUTES))
     process, host, port = await stack.enter_async_context(running_sidecar(folder, document, texts[0]))
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,15 +1,15 @@
-"""Whether the program's memory or descriptors grow under ever new ids, tenants, callers, headers and endpoints.
+"""Detects growth of the program's memory or descriptors under ever new ids, tenants, callers, headers and endpoints.
 
     python -m benchmarks.soak [--seconds 120] [--rate 400]
 
-One run of the real program. Every few requests come on a new connection, with a header and sometimes a tenant that
-nobody has named before; every quarter of a second one endpoint drains and leaves, and another comes under an id that
-is new. Resident memory and descriptors are read twice a second. The first third of the run is left out: pools, parsers
-and the interpreter's arenas fill in it. The slope is the median of all pairs of readings (Theil and Sen), its interval
-that of resampled blocks of readings.
+Runs the sidecar program once. Every few requests use a new connection; each has a new header, some a new tenant. Every
+quarter of a second one endpoint drains and is removed, and another is added under a new id. Resident memory and
+descriptors are read twice a second. The first third of the run is left out, because pools, parsers and the
+interpreter's arenas fill up during it. The slope is the median over all pairs of readings (the Theil-Sen estimator);
+its interval comes from resampled blocks of readings.
 
-The exit status is 1 where the slope's whole interval lies above the bound, or where descriptors at the end pass those
-at the first third by more than callers and endpoints explain.
+The exit status is 1 if the slope's whole interval is above the bound, or if the descriptors of the last third exceed
+those of the first by more than fluctuations explain.
 """
 
 from __future__ import annotations
@@ -33,15 +33,15 @@
 from standins.http import format_request, read_message
 from standins.program import running_sidecar
 
-BOUND_BYTES = 8.0  # growth a request: 10 requests a second for a day are 7 MB then, under a twentieth of the limit
-SPARE_DESCRIPTORS = 16  # what chance in open connections may add between two readings
-PORTS = 6  # endpoints that really listen; the ids at them are ever new
+MAX_GROWTH_BYTES = 8.0  # per request; 10 requests a second grow by 7 MB a day, under a twentieth of the limit
+SPARE_DESCRIPTORS = 16  # allowance for random variation in open connections
+ENDPOINTS = 6  # servers; each gets ever new endpoint ids
 CALLERS = 24
-PER_CONNECTION = 5  # requests before a caller comes anew
-CHURN_S = 0.25
-READ_S = 0.5
-BLOCK = 8  # readings that are resampled together: neighbours are alike
-DRAWS = 400
+PER_CONNECTION = 5  # requests before a caller reconnects
+CHURN_INTERVAL_S = 0.25
+READ_INTERVAL_S = 0.5
+BLOCK_LENGTH = 8  # readings that are resampled together, because neighbours are correlated
+RESAMPLES = 400
 
 SETTINGS: dict[str, Any] = {
     "Categories": [
@@ -58,7 +58,7 @@
 
 @dataclass
 class Readings:
-    """What was seen of the process."""
+    """Readings of the process, in order of time."""
 
     requests: list[int] = field(default_factory=list)
     bytes: list[float] = field(default_factory=list)
@@ -70,80 +70,81 @@
 
 @dataclass
 class Load:
-    """Callers, and what they were answered."""
+    """Callers, and the responses that they got."""
 
     address: tuple[str, int]
     rate: float
-    answers: Counter[int] = field(default_factory=Counter)
-    sent: int = 0
+    status_counts: Counter[int] = field(default_factory=Counter)  # 0: no response
+    sent_count: int = 0
     stopped: bool = False
 
-    async def caller(self, chance: random.Random) -> None:
+    async def caller(self, rng: random.Random) -> None:
         while not self.stopped:
             reader, writer = await asyncio.open_connection(*self.address)
             try:
                 for _ in range(PER_CONNECTION):
-                    await asyncio.sleep(chance.expovariate(self.rate / CALLERS))
-                    writer.write(self.message(chance))
+                    await asyncio.sleep(rng.expovariate(self.rate / CALLERS))
+                    writer.write(self.message(rng))
                     status = (await read_message(reader)).status
-                    self.answers[status] += 1
+                    self.status_counts[status] += 1
                     if status == 400:
-                        break  # the connection closes after it
+                        break  # the sidecar closes the connection after it
             except (asyncio.IncompleteReadError, ConnectionError):
-                self.answers[0] += 1
+                self.status_counts[0] += 1
             finally:
                 writer.close()
 
-    def message(self, chance: random.Random) -> bytes:
-        self.sent += 1
-        stranger = chance.random() < 0.02
+    def message(self, rng: random.Random) -> bytes:
+        self.sent_count += 1
+        is_unknown_tenant = rng.random() < 0.02
         headers = {
             "Host": "a",
-            "Req-Id": f"{self.sent:x}-{chance.getrandbits(32):x}",
-            "Req-Owner": f"tenant-{self.sent}" if stranger else "acme",
+            "Req-Id": f"{self.sent_count:x}-{rng.getrandbits(32):x}",
+            "Req-Owner": f"tenant-{self.sent_count}" if is_unknown_tenant else "acme",
             "Req-Deadline-Ms": "2500",
-            f"X-New-{self.sent}": "1",
+            f"X-New-{self.sent_count}": "1",
         }
-        if chance.random() < 0.5:
-            return format_request("GET", f"/look/item-{self.sent}?q={self.sent}", headers)
-        return format_request("POST", f"/pay/order-{self.sent}", headers, b"x" * chance.randrange(2000))
+        if rng.random() < 0.5:
+            return format_request("GET", f"/look/item-{self.sent_count}?q={self.sent_count}", headers)
+        return format_request("POST", f"/pay/order-{self.sent_count}", headers, b"x" * rng.randrange(2000))
 
 
 async def churn(discovery: Discovery, endpoints: list[Endpoint], load: Load) -> None:
-    """One id leaves, by way of a drain, and a new one comes at the same address."""
-    names = [f"s-{i}" for i in range(PORTS)]
-    for number in itertools.count(PORTS):
-        at = number % PORTS
-        await asyncio.sleep(CHURN_S / 2)
-        discovery.update(row(names[at], endpoints[at].address, "draining"))
-        await asyncio.sleep(CHURN_S / 2)
-        discovery.update(row(names[at], endpoints[at].address, "gone"))
-        names[at] = f"s-{number}"
-        discovery.update(row(names[at], endpoints[at].address))
+    """Repeatedly drain and remove one endpoint id, and add a new one at the same address."""
+    endpoint_ids = [f"s-{i}" for i in range(ENDPOINTS)]
+    for number in itertools.count(ENDPOINTS):
+        index = number % ENDPOINTS
+        await asyncio.sleep(CHURN_INTERVAL_S / 2)
+        discovery.update(row(endpoint_ids[index], endpoints[index].address, "draining"))
+        await asyncio.sleep(CHURN_INTERVAL_S / 2)
+        discovery.update(row(endpoint_ids[index], endpoints[index].address, "gone"))
+        endpoint_ids[index] = f"s-{number}"
+        discovery.update(row(endpoint_ids[index], endpoints[index].address))
         del discovery.changes[:-64]
         if load.stopped:
             return
 
 
 async def watch(pid: int, load: Load, seconds: float) -> Readings:
+    """Take readings of the process for `seconds`."""
     readings = Readings()
     subject = Subject("soak", pid, load.address)
     end = time.monotonic() + seconds
     while time.monotonic() < end:
-        await asyncio.sleep(READ_S)
-        readings.requests.append(load.answers.total())
+        await asyncio.sleep(READ_INTERVAL_S)
+        readings.requests.append(load.status_counts.total())
         readings.bytes.append(subject.resident_mb() * (1 << 20))
         readings.descriptors.append(len(list(Path(f"/proc/{pid}/fd").iterdir())))
     return readings
 
 
 async def soak(folder: Path, seconds: float, rate: float) -> tuple[Readings, Load]:
-    chance = random.Random(1)
+    rng = random.Random(1)
     discovery = await Discovery().start()
     execution_log = ExecutionLog()
     endpoints = [
-        await Endpoint(execution_log, Behaviour(lambda: chance.uniform(0.001, 0.02)), random.Random(i)).start()
-        for i in range(PORTS)
+        await Endpoint(execution_log, Behaviour(lambda: rng.uniform(0.001, 0.02)), random.Random(i)).start()
+        for i in range(ENDPOINTS)
     ]
     for i, endpoint in enumerate(endpoints):
         discovery.update(row(f"s-{i}", endpoint.address))
@@ -155,64 +156,66 @@
         load = Load((host, port), rate)
         callers = [asyncio.create_task(load.caller(random.Random(i))) for i in range(CALLERS)]
         changes = asyncio.create_task(churn(discovery, endpoints, load))
-        forget = asyncio.create_task(forget_runs(execution_log, load))
+        clearing = asyncio.create_task(clear_execution_log(execution_log, load))
         readings = await watch(process.pid, load, seconds)
         load.stopped = True
-        await asyncio.gather(*callers, changes, forget)
+        await asyncio.gather(*callers, changes, clearing)
         process.terminate()
         if await process.wait():
-            raise SystemExit("the program ended with an error")
+            raise SystemExit("the program exited with an error")
     for endpoint in endpoints:
         endpoint.stop()
     discovery.stop()
     return readings, load
 
 
-async def forget_runs(execution_log: ExecutionLog, load: Load) -> None:
-    """The stand-in's own book is not what is measured."""
+async def clear_execution_log(execution_log: ExecutionLog, load: Load) -> None:
+    """Limit the memory of the stand-ins themselves, which is not measured."""
     while not load.stopped:
         await asyncio.sleep(1.0)
         execution_log.runs.clear()
 
 
 def slope(points: list[tuple[int, float]]) -> float:
-    """Bytes a request: the median over all pairs."""
+    """Return the Theil-Sen slope in bytes per request: the median over all pairs."""
     pairs = itertools.combinations(points, 2)
-    rises = [(b[1] - a[1]) / (b[0] - a[0]) for a, b in pairs if b[0] != a[0]]
-    return statistics.median(rises)
+    slopes = [(b[1] - a[1]) / (b[0] - a[0]) for a, b in pairs if b[0] != a[0]]
+    return statistics.median(slopes)
 
 
-def interval(points: list[tuple[int, float]], chance: random.Random) -> tuple[float, float]:
-    """What holds 95% of the slopes of resampled blocks."""
-    blocks = [points[i : i + BLOCK] for i in range(0, len(points), BLOCK)]
-    drawn = []
-    for _ in range(DRAWS):
-        sample = [point for block in chance.choices(blocks, k=len(blocks)) for point in chance.sample(block, 2)]
-        drawn.append(slope(sample))
-    cuts = statistics.quantiles(drawn, n=40)
-    return cuts[0], cuts[-1]
+def interval(points: list[tuple[int, float]], rng: random.Random) -> tuple[float, float]:
+    """Return the interval that holds 95% of the slopes of resampled blocks."""
+    blocks = [points[i : i + BLOCK_LENGTH] for i in range(0, len(points), BLOCK_LENGTH)]
+    slopes = []
+    for _ in range(RESAMPLES):
+        sample = [point for block in rng.choices(blocks, k=len(blocks)) for point in rng.sample(block, 2)]
+        slopes.append(slope(sample))
+    quantiles = statistics.quantiles(slopes, n=40)
+    return quantiles[0], quantiles[-1]
 
 
 def report(readings: Readings, load: Load) -> int:
-    first = len(readings) // 3
-    settled = list(zip(readings.requests, readings.bytes, strict=True))[first:]
-    whole = len(settled) // BLOCK * BLOCK
-    found, (low, high) = slope(settled), interval(settled[:whole], random.Random(2))
-    early, late = max(readings.descriptors[: first + 1]), max(readings.descriptors[-first:])
-    served = load.answers[200]
-    print(f"{load.answers.total()} requests: {served} served, " + ", ".join(
-        f"{count} answered {status or 'nothing'}" for status, count in sorted(load.answers.items()) if status != 200
+    """Print the results and return the exit status."""
+    third = len(readings) // 3
+    settled = list(zip(readings.requests, readings.bytes, strict=True))[third:]
+    complete = len(settled) // BLOCK_LENGTH * BLOCK_LENGTH
+    growth, (low, high) = slope(settled), interval(settled[:complete], random.Random(2))
+    early_descriptors, late_descriptors = max(readings.descriptors[: third + 1]), max(readings.descriptors[-third:])
+    served = load.status_counts[200]
+    print(f"{load.status_counts.total()} requests: {served} served, " + ", ".join(
+        f"{count} with {status or 'no response'}"
+        for status, count in sorted(load.status_counts.items()) if status != 200
     ))  # fmt: skip
     print(
-        f"resident: {readings.bytes[first] / 2**20:.1f} MB after a third of the run, "
+        f"resident: {readings.bytes[third] / 2**20:.1f} MB after a third of the run, "
         f"{readings.bytes[-1] / 2**20:.1f} at its end; "
-        f"slope {found:+.2f} bytes a request (95%: {low:+.2f} to {high:+.2f}; bound {BOUND_BYTES:g})"
+        f"slope {growth:+.2f} bytes per request (95%: {low:+.2f} to {high:+.2f}; bound {MAX_GROWTH_BYTES:g})"
     )
-    print(f"descriptors: {early} at the most in the first third, {late} in the last")
-    if low > BOUND_BYTES:
-        print("memory grows past the bound")
+    print(f"descriptors: at most {early_descriptors} in the first third, {late_descriptors} in the last")
+    if low > MAX_GROWTH_BYTES:
+        print("memory grows by more than the bound")
         return 1
-    if late > early + SPARE_DESCRIPTORS:
+    if late_descriptors > early_descriptors + SPARE_DESCRIPTORS:
         print("descriptors grow")
         return 1
     return 0
@@ -220,8 +223,8 @@
 
 def main() -> int:
     parser = argparse.ArgumentParser(prog="python -m benchmarks.soak", description=__doc__)
-    parser.add_argument("--seconds", type=float, default=120.0, help="how long (30 to 3600)")
-    parser.add_argument("--rate", type=float, default=400.0, help="requests a second (10 to 2000)")
+    parser.add_argument("--seconds", type=float, default=120.0, help="duration: 30 to 3600")
+    parser.add_argument("--rate", type=float, default=400.0, help="requests a second: 10 to 2000")
     options = parser.parse_args()
     if not 30 <= options.seconds <= 3600 or not 10 <= options.rate <= 2000:
         parser.error("--seconds: 30 to 3600; --rate: 10 to 2000")
--- a/benchmarks/thrift.py
+++ b/benchmarks/thrift.py
@@ -1,11 +1,11 @@
-"""What a Thrift call costs the sidecar, against a bare framed relay and against HTTP through the same sidecar.
+"""The sidecar's cost per Thrift call compared with HTTP through the same sidecar and with a bare byte relay.
 
     python -m benchmarks.thrift [--rounds 40]
 
-One run: a relay of bytes, and one sidecar with both ports. Callers send one call after another over kept connections in
-short rounds, in a drawn order, so that what else the machine does falls on all alike. CPU is that of the process's main
-thread. The struct holds some 1 KiB: numbers, texts, a list of structs and a map. Ratios are of each round's figure to
-that of the same round over HTTP, with the interval that holds 95% of resampled means.
+Runs one byte relay and one sidecar with both ports. Callers send one call after another over reused connections, in
+short rounds in random order, so that other load on the machine affects all variants alike. CPU time is that of the
+process's main thread. The struct has about 1 KiB: numbers, strings, a list of structs and a map. Each ratio is that of
+a round's CPU time to the same round over HTTP, with a bootstrap interval that holds 95% of the resampled means.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 from standins.program import running_sidecar
 
 CALLERS = 16
-CALLS = 60  # of each caller in a round
+CALLS = 60  # by each caller in a round
 RESAMPLES = 2000
 DESCRIPTION = """\
 name = "bench"
@@ -75,51 +75,54 @@
 """
 
 
-def put(kind: int, number: int, value: bytes) -> bytes:
-    return bytes((kind,)) + binary.I16.pack(number) + value
+def field(field_type: int, field_id: int, value: bytes) -> bytes:
+    """Return a field of a struct in the binary encoding."""
+    return bytes((field_type,)) + binary.I16.pack(field_id) + value
 
 
-def text(value: bytes) -> bytes:
+def string(value: bytes) -> bytes:
+    """Return a string in the binary encoding."""
     return binary.U32.pack(len(value)) + value
 
 
-def struct_of_a_kibibyte() -> bytes:
-    """An order of sixteen lines, in binary."""
+def kibibyte_struct() -> bytes:
+    """Return a struct of about 1 KiB, with a list of sixteen structs, in the binary encoding."""
     line = (
-        put(TType.I32, 1, binary.I32.pack(70_000)) + put(TType.DOUBLE, 2, binary.DOUBLE.pack(12.5))
-        + put(TType.BOOL, 3, b"\1") + put(TType.STRING, 4, text(b"chain 11s")) + b"\0"
+        field(TType.I32, 1, binary.I32.pack(70_000)) + field(TType.DOUBLE, 2, binary.DOUBLE.pack(12.5))
+        + field(TType.BOOL, 3, b"\1") + field(TType.STRING, 4, string(b"chain 11s")) + b"\0"
     )  # fmt: skip
     lines = bytes((TType.STRUCT,)) + binary.U32.pack(16) + line * 16
-    counts = bytes((TType.STRING, TType.I64)) + binary.U32.pack(4) + (text(b"bay-7") + binary.I64.pack(1 << 40)) * 4
+    counts = bytes((TType.STRING, TType.I64)) + binary.U32.pack(4) + (string(b"bay-7") + binary.I64.pack(1 << 40)) * 4
     return (
-        put(TType.I32, 1, binary.I32.pack(9000)) + put(TType.STRING, 2, text(b"k" * 32)) + put(TType.LIST, 3, lines)
-        + put(TType.MAP, 4, counts) + put(TType.STRING, 5, text(b"x" * 100)) + b"\0"
+        field(TType.I32, 1, binary.I32.pack(9000)) + field(TType.STRING, 2, string(b"k" * 32))
+        + field(TType.LIST, 3, lines) + field(TType.MAP, 4, counts) + field(TType.STRING, 5, string(b"x" * 100)) + b"\0"
     )  # fmt: skip
 
 
 def message(encoding: Encoding, message_type: MessageType) -> bytes:
-    whole = binary.write_header(message_type, b"look", 1) + put(TType.STRUCT, 1, struct_of_a_kibibyte()) + b"\0"
-    return convert(whole, messages.read_header(whole, Encoding.BINARY), encoding, 1)
+    """Return a message whose only field is the struct, without its frame."""
+    binary_message = binary.write_header(message_type, b"look", 1) + field(TType.STRUCT, 1, kibibyte_struct()) + b"\0"
+    return convert(binary_message, messages.read_header(binary_message, Encoding.BINARY), encoding, 1)
 
 
 class HttpEndpoint(asyncio.Protocol):
-    """The fastest endpoint there is: one canned answer for each request, of a kibibyte as the request."""
+    """A minimal endpoint: sends a canned response for each complete request."""
 
-    def __init__(self, answer: bytes, size: int) -> None:
-        self.answer, self.size, self.got = answer, size, bytearray()
+    def __init__(self, response: bytes, body_size: int) -> None:
+        self.response, self.body_size, self.buffer = response, body_size, bytearray()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport: asyncio.WriteTransport = transport  # type: ignore[assignment]
 
     def data_received(self, data: bytes) -> None:
-        self.got += data
-        while (end := self.got.find(b"\r\n\r\n")) >= 0 and len(self.got) >= end + 4 + self.size:
-            del self.got[: end + 4 + self.size]
-            self.transport.write(self.answer)
+        self.buffer += data
+        while (end := self.buffer.find(b"\r\n\r\n")) >= 0 and len(self.buffer) >= end + 4 + self.body_size:
+            del self.buffer[: end + 4 + self.body_size]
+            self.transport.write(self.response)
 
 
 class ThriftEndpoint(asyncio.Protocol):
-    """The same for Thrift: the canned reply with the call's sequence id."""
+    """A minimal Thrift endpoint: sends a canned reply with the call's sequence id."""
 
     def __init__(self, encoding: Encoding) -> None:
         self.encoding = encoding
@@ -137,35 +140,42 @@
 
 
 class Caller(asyncio.Protocol):
-    """One caller: a request as soon as the last is answered."""
+    """Sends a request as soon as the previous one is answered.
 
-    def __init__(self, requests: Callable[[], bytes], whole: Callable[[bytes], int], done: asyncio.Event) -> None:
-        self.requests, self.whole, self.done = requests, whole, done
-        self.left = CALLS
-        self.got = b""
+    `next_request` returns the bytes to send; `message_size` returns the size of the message that a buffer begins with,
+    0 if it is unknown yet.
+    """
+
+    def __init__(
+        self, next_request: Callable[[], bytes], message_size: Callable[[bytes], int], done: asyncio.Event
+    ) -> None:
+        self.next_request, self.message_size, self.done = next_request, message_size, done
+        self.remaining = CALLS
+        self.buffer = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport: asyncio.WriteTransport = transport  # type: ignore[assignment]
 
     def begin(self) -> None:
-        self.transport.write(self.requests())
+        self.transport.write(self.next_request())
 
     def data_received(self, data: bytes) -> None:
-        self.got += data
-        size = self.whole(self.got)
-        if not size or len(self.got) < size:
+        self.buffer += data
+        size = self.message_size(self.buffer)
+        if not size or len(self.buffer) < size:
             return
-        self.got = self.got[size:]
-        self.left -= 1
-        if self.left:
+        self.buffer = self.buffer[size:]
+        self.remaining -= 1
+        if self.remaining:
             self.begin()
         else:
             self.done.set()
 
 
-def http_size(got: bytes) -> int:
-    head, between, _ = got.partition(b"\r\n\r\n")
-    if not between:
+def http_size(buffer: bytes) -> int:
+    """Return the size of the first response, 0 if its head is incomplete."""
+    head, separator, _ = buffer.partition(b"\r\n\r\n")
+    if not separator:
         return 0
     if not head.startswith(b"HTTP/1.1 200"):
         raise SystemExit(f"HTTP: {head[:200]!r}")
@@ -173,24 +183,25 @@
     return len(head) + 4 + int(length.split(b":")[1])
 
 
-def thrift_size(got: bytes) -> int:
-    if len(got) < 4:
+def thrift_size(buffer: bytes) -> int:
+    """Return the size of the first frame, 0 if its length is incomplete."""
+    if len(buffer) < 4:
         return 0
-    size = 4 + int.from_bytes(got[:4], "big")
-    if len(got) >= size:
-        header = messages.read_header(got[4:size], messages.detect_encoding(got[4:size]))
+    size = 4 + int.from_bytes(buffer[:4], "big")
+    if len(buffer) >= size:
+        header = messages.read_header(buffer[4:size], messages.detect_encoding(buffer[4:size]))
         if header.message_type is not MessageType.REPLY:
-            raise SystemExit(f"Thrift: {messages.read_exception(got[4:size], header)}")
+            raise SystemExit(f"Thrift: {messages.read_exception(buffer[4:size], header)}")
     return size
 
 
-class Side:
-    """One way of asking, and what it took in each round."""
+class Variant:
+    """A way to send calls, and its measurements in each round."""
 
     def __init__(
-        self, subject: Subject, make: Callable[[], Callable[[], bytes]], whole: Callable[[bytes], int]
+        self, subject: Subject, make_requests: Callable[[], Callable[[], bytes]], message_size: Callable[[bytes], int]
     ) -> None:
-        self.subject, self.make, self.whole = subject, make, whole
+        self.subject, self.make_requests, self.message_size = subject, make_requests, message_size
 
     async def round(self) -> None:
         loop = asyncio.get_running_loop()
@@ -198,32 +209,33 @@
         for _ in range(CALLERS):
             event = asyncio.Event()
             _, caller = await loop.create_connection(
-                lambda event=event: Caller(self.make(), self.whole, event),  # type: ignore[misc]
+                lambda event=event: Caller(self.make_requests(), self.message_size, event),  # type: ignore[misc]
                 *self.subject.address,
             )
             callers.append(caller)
-        cpu, begun = self.subject.cpu_s(), loop.time()
+        cpu_before, started_at = self.subject.cpu_s(), loop.time()
         for caller in callers:
             caller.begin()
         for caller in callers:
             await caller.done.wait()
         sent = CALLERS * CALLS
-        self.subject.rates.append(sent / (loop.time() - begun))
-        self.subject.cpu_us.append((self.subject.cpu_s() - cpu) / sent * 1e6)
+        self.subject.rates.append(sent / (loop.time() - started_at))
+        self.subject.cpu_us.append((self.subject.cpu_s() - cpu_before) / sent * 1e6)
         for caller in callers:
             caller.transport.close()
 
 
 def http_requests(body: bytes, prefix: str) -> Callable[[], Callable[[], bytes]]:
-    serial = iter(range(1 << 60))
+    """Return a factory of `next_request` functions, whose requests have distinct ids."""
+    request_numbers = iter(range(1 << 60))
 
-    def one() -> bytes:
+    def next_request() -> bytes:
         return (
             b"POST /look/item HTTP/1.1\r\nHost: a\r\nReq-Id: %s%x\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 9000\r\n"
-            b"Content-Length: %d\r\n\r\n%s" % (prefix.encode(), next(serial), len(body), body)
+            b"Content-Length: %d\r\n\r\n%s" % (prefix.encode(), next(request_numbers), len(body), body)
         )
 
-    return lambda: one
+    return lambda: next_request
 
 
 def thrift_requests(encoding: Encoding) -> Callable[[], Callable[[], bytes]]:
@@ -232,71 +244,80 @@
 
 
 def document(http: str, thrift: str) -> dict[str, Any]:
+    """Return the platform's document with endpoints at these addresses."""
     with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
         file.write(DESCRIPTION)
         file.flush()
-        made = outcome(file.name)
-    found: dict[str, Any] = json.loads(made.files["bench/sidecar.json"])
+        generated = outcome(file.name)
+    written: dict[str, Any] = json.loads(generated.files["bench/sidecar.json"])
     known = []
     for i in range(4):
         known.append({**row(f"h-{i}", http), "metadata": {"speaks": "http"}})
         known.append({**row(f"t-{i}", thrift), "metadata": {"speaks": "thrift", "thrift": "compact"}})
-    return {**found, "known": {"generation": 1, "reset": True, "instances": known}}
+    return {**written, "known": {"generation": 1, "reset": True, "instances": known}}
 
 
-def port_of(server: asyncio.Server) -> str:
+def address_of(server: asyncio.Server) -> str:
+    """Return the server's address as "host:port"."""
     return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
 
 def logged_port(folder: Path) -> int:
-    line = next(one for one in (folder / "log.txt").read_text().splitlines() if "takes Thrift on" in one)
+    """Return the Thrift port that the program has logged."""
+    line = next(entry for entry in (folder / "log.txt").read_text().splitlines() if "takes Thrift on" in entry)
     return int(line.rpartition(":")[2])
 
 
 async def measure(rounds: int) -> None:
     loop = asyncio.get_running_loop()
-    body = struct_of_a_kibibyte()
-    canned = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-    web = await loop.create_server(lambda: HttpEndpoint(canned, len(body)), "127.0.0.1", 0)
-    calls = await loop.create_server(lambda: ThriftEndpoint(Encoding.COMPACT), "127.0.0.1", 0)
+    body = kibibyte_struct()
+    response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
+    http_server = await loop.create_server(lambda: HttpEndpoint(response, len(body)), "127.0.0.1", 0)
+    thrift_server = await loop.create_server(lambda: ThriftEndpoint(Encoding.COMPACT), "127.0.0.1", 0)
     async with AsyncExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         process, host, port = await stack.enter_async_context(
-            running_sidecar(folder, document(port_of(web), port_of(calls)), OPERATOR)
+            running_sidecar(folder, document(address_of(http_server), address_of(thrift_server)), OPERATOR)
         )
-        pid, where = await stack.enter_async_context(relay(port_of(calls)))
-        thrift = (host, logged_port(folder))
-        sides = [
-            Side(Subject("HTTP, 1 KiB each way", process.pid, (host, port)), http_requests(body, "b"), http_size),
-            Side(Subject("Thrift, as it is", process.pid, thrift), thrift_requests(Encoding.COMPACT), thrift_size),
-            Side(Subject("Thrift, converted", process.pid, thrift), thrift_requests(Encoding.BINARY), thrift_size),
-            Side(Subject("bare framed relay", pid, where), thrift_requests(Encoding.COMPACT), thrift_size),
+        pid, relay_address = await stack.enter_async_context(relay(address_of(thrift_server)))
+        thrift_address = (host, logged_port(folder))
+        variants = [
+            Variant(Subject("HTTP, 1 KiB each way", process.pid, (host, port)), http_requests(body, "b"), http_size),
+            Variant(
+                Subject("Thrift, not converted", process.pid, thrift_address),
+                thrift_requests(Encoding.COMPACT),
+                thrift_size,
+            ),
+            Variant(
+                Subject("Thrift, converted", process.pid, thrift_address), thrift_requests(Encoding.BINARY), thrift_size
+            ),
+            Variant(Subject("bare byte relay", pid, relay_address), thrift_requests(Encoding.COMPACT), thrift_size),
         ]
-        for side in sides:  # warm up, and forget it
-            await side.round()
-            side.subject.cpu_us.clear()
-            side.subject.rates.clear()
-        chance = random.Random(1)
+        for variant in variants:  # warm-up, not recorded
+            await variant.round()
+            variant.subject.cpu_us.clear()
+            variant.subject.rates.clear()
+        rng = random.Random(1)
         for _ in range(rounds):
-            for side in chance.sample(sides, len(sides)):
-                await side.round()
-        report([side.subject for side in sides], chance)
-    for server in (web, calls):
+            for variant in rng.sample(variants, len(variants)):
+                await variant.round()
+        report([variant.subject for variant in variants], rng)
+    for server in (http_server, thrift_server):
         server.close()
 
 
-def interval(ratios: list[float], chance: random.Random) -> tuple[float, float]:
-    """Where 95% of the means of resampled rounds lie."""
-    means = sorted(statistics.fmean(chance.choices(ratios, k=len(ratios))) for _ in range(RESAMPLES))
+def interval(ratios: list[float], rng: random.Random) -> tuple[float, float]:
+    """Return the interval that holds 95% of the means of resampled ratios."""
+    means = sorted(statistics.fmean(rng.choices(ratios, k=len(ratios))) for _ in range(RESAMPLES))
     return means[int(0.025 * RESAMPLES)], means[int(0.975 * RESAMPLES)]
 
 
-def report(subjects: list[Subject], chance: random.Random) -> None:
-    base = subjects[0]
-    print(f"{'':<24} {'calls/s':>8} {'CPU a call':>11} {'x HTTP':>8}  95%")
+def report(subjects: list[Subject], rng: random.Random) -> None:
+    http = subjects[0]
+    print(f"{'':<24} {'calls/s':>8} {'CPU/call':>11} {'x HTTP':>8}  95%")
     for subject in subjects:
-        ratios = [a / b for a, b in zip(subject.cpu_us, base.cpu_us, strict=True)]
-        low, high = interval(ratios, chance)
+        ratios = [a / b for a, b in zip(subject.cpu_us, http.cpu_us, strict=True)]
+        low, high = interval(ratios, rng)
         print(
             f"{subject.name:<24} {statistics.median(subject.rates):>8.0f} {statistics.median(subject.cpu_us):>8.1f} us "
             f"{statistics.fmean(ratios):>8.3f}  {low:.3f} to {high:.3f}"
