--- a/benchmarks/caller_disconnects.py
+++ b/benchmarks/caller_disconnects.py
@@ -108,7 +108,7 @@
         position = "behind another" if key[1] else "first on its connection"
         print(f"{key[0]:<11} {position:<24} {cases_by[key]:>6} cases, {sent_on[key]} sent on over {LIMIT_S} s later")
     total, total_sent_on = cases_by.total(), sent_on.total()
-    print(f"all: {total_sent_on} of {total} sent on")
+    print(f"sent on: {total_sent_on} of {total}")
     return total > 0 and total_sent_on < max(MIN_FAILURES, FAILURE_SHARE * total)
 
 
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from benchmarks.reports import play
+from benchmarks.reports import simulate
 from eiderhub.interface import LoadReport, Outcome
 from eiderhub.load_reports import parse_load_report
 from eiderhub.policy.load_weight import MAX_FACTOR, LoadWeight, mean_busy
@@ -144,7 +144,7 @@
 
 def test_reports_raise_and_even_out_the_throughput_of_unequal_machines() -> None:
     """Runs the benchmark's fleet in virtual time."""
-    without, reporting = (play(3, 0.4, reports) for reports in (False, True))
-    assert reporting.served > without.served
+    without, reporting = (simulate(3, 0.4, reports) for reports in (False, True))
+    assert reporting.served_on_time > without.served_on_time
     assert abs(reporting.slow_busy - reporting.fast_busy) < abs(without.slow_busy - without.fast_busy)
-    assert play(3, 0.4, True) == reporting
+    assert simulate(3, 0.4, True) == reporting
