--- a/benchmarks/caller_disconnects.py
+++ b/benchmarks/caller_disconnects.py
@@ -5,8 +5,8 @@
 Runs the sidecar program with endpoints that are too slow for the load. Callers send one to three requests at once on a
 connection, wait a random time and disconnect: by a close, by a half close of their sending side, or by a reset. The
 endpoints record when each request arrived. A case is a request that had not arrived at an endpoint when its caller
-disconnected; it counts as sent on if it arrives more than 0.3 s later. The measurement fails if over a quarter of the
-cases, and at least five, are sent on: the operators use the same criterion for a day.
+disconnected; it counts as forwarded if it arrives more than 0.3 s later. The measurement fails if over a quarter of the
+cases, and at least five, are forwarded: the operators use the same criterion for a day.
 """
 
 from __future__ import annotations
@@ -98,18 +98,22 @@
 
 def report(cases: list[Case], arrivals: dict[str, float]) -> bool:
     """Print the counts by kind of disconnect and position; return whether the operators' criterion is met."""
-    cases_by, sent_on = Counter[tuple[str, bool]](), Counter[tuple[str, bool]]()
+    case_counts, forwarded = Counter[tuple[str, bool]](), Counter[tuple[str, bool]]()
     for case in cases:
         arrived_at = arrivals.get(case.request_id)
         if arrived_at is None or arrived_at > case.disconnected_at:
-            cases_by[case.how, case.is_behind] += 1
-            sent_on[case.how, case.is_behind] += arrived_at is not None and arrived_at > case.disconnected_at + LIMIT_S
-    for key in sorted(cases_by):
+            case_counts[case.how, case.is_behind] += 1
+            forwarded[case.how, case.is_behind] += (
+                arrived_at is not None and arrived_at > case.disconnected_at + LIMIT_S
+            )
+    for key in sorted(case_counts):
         position = "behind another" if key[1] else "first on its connection"
-        print(f"{key[0]:<11} {position:<24} {cases_by[key]:>6} cases, {sent_on[key]} sent on over {LIMIT_S} s later")
-    total, total_sent_on = cases_by.total(), sent_on.total()
-    print(f"sent on: {total_sent_on} of {total}")
-    return total > 0 and total_sent_on < max(MIN_FAILURES, FAILURE_SHARE * total)
+        print(
+            f"{key[0]:<11} {position:<24} {case_counts[key]:>6} cases, {forwarded[key]} forwarded over {LIMIT_S} s later"
+        )
+    total, total_forwarded = case_counts.total(), forwarded.total()
+    print(f"forwarded: {total_forwarded} of {total}")
+    return total > 0 and total_forwarded < max(MIN_FAILURES, FAILURE_SHARE * total)
 
 
 async def measure(seconds: float) -> bool:
--- a/benchmarks/fleet/flood.py
+++ b/benchmarks/fleet/flood.py
@@ -37,7 +37,7 @@
 
 
 async def run_round(rig: Rig, flooded: bool) -> tuple[RequestStats, int]:
-    """Run requests for ROUND_S, with or without a flood; return their tally and the junk datagrams sent."""
+    """Run requests for ROUND_S, with or without a flood; return their statistics and the junk datagrams sent."""
     sender = None
     if flooded:
         host, port = rig.relay.member_addresses[0]
@@ -65,10 +65,10 @@
         for number in range(rounds):
             latencies_ms = {}
             for flooded in random.Random(number).sample((False, True), 2):
-                tally, sent = await run_round(rig, flooded)
+                stats, sent = await run_round(rig, flooded)
                 junk += sent
-                unserved += tally.status_counts.total() - tally.served
-                percentiles = statistics.quantiles(tally.latencies_s, n=100)
+                unserved += stats.status_counts.total() - stats.served
+                percentiles = statistics.quantiles(stats.latencies_s, n=100)
                 latencies_ms[flooded] = (percentiles[49] * 1000, percentiles[98] * 1000)
             rows.append((*latencies_ms[False], *latencies_ms[True]))
         flood_end = time.time()
--- a/benchmarks/overload_recovery/__main__.py
+++ b/benchmarks/overload_recovery/__main__.py
@@ -66,7 +66,7 @@
         self.retry_delay_us = int(self.rng.choice([0.0, draw(50, 400)]) * MS)
         self.requests: list[ClientRequest] = []
         self.endpoint_count = 0
-        self.inner = {endpoint.name: endpoint for endpoint in (self._endpoint(None) for _ in range(INNER_ENDPOINTS))}
+        self.inner = {e.name: e for e in (self._endpoint(None) for _ in range(INNER_ENDPOINTS))}
         self.outer: dict[str, Endpoint] = {}
         self.cells: dict[str, int] = {}
         for _ in range(OUTER_ENDPOINTS):
@@ -122,9 +122,9 @@
         endpoint.started_us = started_us
         self.outer[endpoint.name] = endpoint
         self.cells[endpoint.name] = len(self.cells) // 6
-        inner_sidecars: list[Sidecar] = []
+        inner_sidecars: list[Sidecar] = []  # one, made at the first call
 
-        def call(job: Job, on_result: object) -> None:
+        def call_next_tier(job: Job, on_result: object) -> None:
             if not inner_sidecars:
                 number = len(self.cells)
                 sidecar = Sidecar(
@@ -142,7 +142,7 @@
                 lambda outcome: on_result(outcome == "served"),  # type: ignore[operator]
             )  # fmt: skip
 
-        endpoint.call_next_tier = call
+        endpoint.call_next_tier = call_next_tier
         return endpoint
 
     def _job(self, class_name: str, share: float, nested_calls: int, on_done: object) -> Job:
--- a/benchmarks/overload_recovery/model.py
+++ b/benchmarks/overload_recovery/model.py
@@ -27,11 +27,13 @@
         self._heap: list[tuple[int, int, Callable[[], None]]] = []
         self._serial = 0
 
-    def after(self, delay: int, callback: Callable[[], None]) -> None:
+    def after(self, delay_us: int, callback: Callable[[], None]) -> None:
+        """Schedule a callback; a negative delay counts as 0."""
         self._serial += 1
-        heapq.heappush(self._heap, (self.now + max(0, delay), self._serial, callback))
+        heapq.heappush(self._heap, (self.now + max(0, delay_us), self._serial, callback))
 
     def run(self, until: int) -> None:
+        """Run the callbacks that are due up to this time, and advance the clock to it."""
         while self._heap and self._heap[0][0] <= until:
             self.now, _, callback = heapq.heappop(self._heap)
             callback()
@@ -95,15 +97,15 @@
         self.call_next_tier = call_next_tier  # None: there is no next tier
         self.queue: deque[Job] = deque()
         self.cpu_queue: deque[tuple[Job, float, Callable[[], None]]] = deque()  # jobs in a slot that wait for a core
-        self.running = 0
+        self.running = 0  # jobs in a slot
         self.busy_cores = 0
         self.is_slow = False
-        self.slow_since = 0
+        self.slow_since = 0  # virtual time
         self.total_slow_us = 0
         self.failure_rate = 0.0  # share of requests that fail at once
         self.external_slowdown = 1.0  # by an external cause
         self.is_alive = True
-        self.started_us = 0  # 0: warm since the beginning
+        self.started_us = 0  # when a cold endpoint started; 0: warm
         self.cold_us = 6 * S
         self.cold_speed = 0.4  # share of its speed at its start; rises linearly over `cold_us`
         # The latest samples of the number of requests, and of the busy share of the cores.
@@ -117,7 +119,7 @@
             clock.after(SAMPLE_INTERVAL_US, self._sample)
 
     def entry_threshold(self) -> float:
-        """Return the mean number of requests above which the endpoint becomes slow."""
+        """Return the mean number of requests above which the endpoint becomes slow, at most 70% of what it accepts."""
         assert self.slow_mode is not None
         return min(
             self.cores + self.slow_mode.excess_per_root_core * math.sqrt(self.cores),
--- a/benchmarks/overload_recovery/sidecars.py
+++ b/benchmarks/overload_recovery/sidecars.py
@@ -27,7 +27,7 @@
     make_job: Callable[[Callable[[str], None]], Job]
     answer_by_us: int  # on the virtual clock
     on_answer: Answer
-    answered: bool = False
+    is_answered: bool = False
     open_attempts: dict[int, tuple[str, int]] = field(default_factory=dict)  # endpoint and time sent, by number
     attempt_count: int = 0
 
@@ -81,14 +81,14 @@
             return
         for number in list(request.open_attempts):
             self._end_attempt(request, number, Outcome.TIMEOUT)
-        if not request.answered:
+        if not request.is_answered:
             self._answer(request, "failed")
             self.balancer.expired(self.clock.now, request.call)
         self.requests.pop(request.call, None)
 
     def _answer(self, request: SidecarRequest, result: str) -> None:
-        if not request.answered:
-            request.answered = True
+        if not request.is_answered:
+            request.is_answered = True
             request.on_answer(result)
 
     def _end_attempt(self, request: SidecarRequest, number: int, outcome: Outcome) -> None:
@@ -99,8 +99,8 @@
             self._answer(request, "served")
         now = self.clock.now
         load = self.load_report_of(attempt[0]) if outcome in ANSWERED else None
-        self.balancer.reply(now, request.call, number, attempt[0], now - attempt[1], request.answered, outcome, load)
-        if request.answered and not request.open_attempts:
+        self.balancer.reply(now, request.call, number, attempt[0], now - attempt[1], request.is_answered, outcome, load)
+        if request.is_answered and not request.open_attempts:
             self.requests.pop(request.call, None)
 
     # --- actions of the decision module ---
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -9,7 +9,7 @@
 its interval comes from resampled blocks of readings.
 
 The exit status is 1 if the slope's whole interval is above the bound, or if the descriptors of the last third exceed
-those of the first by more than fluctuations explain.
+those of the first by more than `SPARE_DESCRIPTORS`.
 """
 
 from __future__ import annotations
@@ -60,8 +60,8 @@
 class Readings:
     """Readings of the process, in order of time."""
 
-    requests: list[int] = field(default_factory=list)
-    bytes: list[float] = field(default_factory=list)
+    requests: list[int] = field(default_factory=list)  # answered so far
+    bytes: list[float] = field(default_factory=list)  # resident memory
     descriptors: list[int] = field(default_factory=list)
 
     def __len__(self) -> int:
@@ -76,10 +76,11 @@
     rate: float
     status_counts: Counter[int] = field(default_factory=Counter)  # 0: no response
     sent_count: int = 0
-    stopped: bool = False
+    is_stopped: bool = False
 
     async def caller(self, rng: random.Random) -> None:
-        while not self.stopped:
+        """Send requests with random pauses, a few on each connection, until the load is stopped."""
+        while not self.is_stopped:
             reader, writer = await asyncio.open_connection(*self.address)
             try:
                 for _ in range(PER_CONNECTION):
@@ -95,6 +96,7 @@
                 writer.close()
 
     def message(self, rng: random.Random) -> bytes:
+        """Return a request with a new id, header and target."""
         self.sent_count += 1
         is_unknown_tenant = rng.random() < 0.02
         headers = {
@@ -121,7 +123,7 @@
         endpoint_ids[index] = f"s-{number}"
         discovery.update(row(endpoint_ids[index], endpoints[index].address))
         del discovery.changes[:-64]
-        if load.stopped:
+        if load.is_stopped:
             return
 
 
@@ -158,7 +160,7 @@
         changes = asyncio.create_task(churn(discovery, endpoints, load))
         clearing = asyncio.create_task(clear_execution_log(execution_log, load))
         readings = await watch(process.pid, load, seconds)
-        load.stopped = True
+        load.is_stopped = True
         await asyncio.gather(*callers, changes, clearing)
         process.terminate()
         if await process.wait():
@@ -171,7 +173,7 @@
 
 async def clear_execution_log(execution_log: ExecutionLog, load: Load) -> None:
     """Limit the memory of the stand-ins themselves, which is not measured."""
-    while not load.stopped:
+    while not load.is_stopped:
         await asyncio.sleep(1.0)
         execution_log.runs.clear()
 
