--- a/benchmarks/caller_disconnects.py
+++ b/benchmarks/caller_disconnects.py
@@ -109,7 +109,8 @@
     for key in sorted(case_counts):
         position = "behind another" if key[1] else "first on its connection"
         print(
-            f"{key[0]:<11} {position:<24} {case_counts[key]:>6} cases, {forwarded[key]} forwarded over {LIMIT_S} s later"
+            f"{key[0]:<11} {position:<24} {case_counts[key]:>6} cases, "
+            f"{forwarded[key]} forwarded over {LIMIT_S} s later"
         )
     total, total_forwarded = case_counts.total(), forwarded.total()
     print(f"forwarded: {total_forwarded} of {total}")
