--- a/benchmarks/overload_recovery/__main__.py
+++ b/benchmarks/overload_recovery/__main__.py
@@ -269,7 +269,7 @@
     parser.add_argument("--seeds", type=int, default=56)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--trigger", choices=TRIGGERS, action="append")
-    parser.add_argument("--load", type=float, default=0.55, help="share of the capacity of the tier with less of it")
+    parser.add_argument("--load", type=float, default=0.55, help="share of the smaller tier's capacity")
     parser.add_argument("--each", action="store_true", help="print the result of every seed")
     options = parser.parse_args()
     seeds = range(options.first, options.first + options.seeds)
--- a/benchmarks/proxy.py
+++ b/benchmarks/proxy.py
@@ -206,7 +206,7 @@
             process, host, port = await stack.enter_async_context(running_sidecar(folder, document, operator, command))
             await wait_ready(host, port)
             subjects.append(Subject(name, process.pid, (host, port)))
-        for subject in subjects:  # warm-up, not recorded
+        for subject in subjects:  # warm-up, discarded
             await run_round(subject, requests // 4)
             subject.cpu_us.clear()
             subject.rates.clear()
@@ -234,7 +234,7 @@
             reloads += 1
             await wait_for_reloads(folder, reloads)
             await run_round(subject, requests)
-        if not round_number:  # warm-up, not recorded
+        if not round_number:  # warm-up, discarded
             for subject in subjects:
                 subject.cpu_us.clear()
                 subject.latencies_us.clear()
--- a/benchmarks/thrift.py
+++ b/benchmarks/thrift.py
@@ -293,7 +293,7 @@
             ),
             Variant(Subject("bare byte relay", pid, relay_address), thrift_requests(Encoding.COMPACT), thrift_size),
         ]
-        for variant in variants:  # warm-up, not recorded
+        for variant in variants:  # warm-up, discarded
             await variant.round()
             variant.subject.cpu_us.clear()
             variant.subject.rates.clear()
