--- a/tests/config/serving.py
+++ b/tests/config/serving.py
@@ -20,9 +20,9 @@
 from eiderhub.routing.table import Route
 from eiderhub.sidecar.config import Config
 from standins.discovery import Discovery, row
-from standins.endpoint import Behaviour, Endpoint, Ledger
-from standins.http import read_message, request
-from standins.program import running
+from standins.endpoint import Behaviour, Endpoint, ExecutionLog
+from standins.http import format_request, read_message
+from standins.program import running_sidecar
 
 MAX_EXAMPLES = 6  # per configuration
 MARGIN_S = 0.06  # a failure may be answered up to this long before the latency objective
@@ -90,8 +90,8 @@
     assert examined.config is not None, examined.errors
     assert examined.config.plan is not None
     plan = examined.config.plan
-    ledger = Ledger()
-    endpoint = await Endpoint(ledger, Behaviour(), random.Random(1)).start()
+    execution_log = ExecutionLog()
+    endpoint = await Endpoint(execution_log, Behaviour(), random.Random(1)).start()
     discovery = await Discovery().start()
     for entry in rows_for(examined.config, endpoint.address):
         discovery.update(entry)
@@ -99,7 +99,7 @@
     served: set[str] = set()
     late: set[str] = set()
     with tempfile.TemporaryDirectory() as folder:
-        async with running(Path(folder), document_with_discovery, operator) as (_, host, port):
+        async with running_sidecar(Path(folder), document_with_discovery, operator) as (_, host, port):
             async with asyncio.timeout(5):
                 while not discovery.request_count:  # the known list may be outdated until the first poll
                     await asyncio.sleep(0.005)
@@ -112,7 +112,7 @@
                     late.add(name)
     endpoint.stop()
     discovery.stop()
-    assert {name for _, name in ledger.runs} - late == served  # hedges of harmless requests may have run too
+    assert {name for _, name in execution_log.runs} - late == served  # hedges of harmless requests may have run too
     return len(served)
 
 
@@ -123,7 +123,7 @@
     if example.request_class.effect is Effect.DEDUPLICATED:
         headers["Idempotency-Key"] = f"k{name}"
     reader, writer = await asyncio.open_connection(host, port)
-    writer.write(request(METHOD[example.request_class.effect], example.target, headers))
+    writer.write(format_request(METHOD[example.request_class.effect], example.target, headers))
     sent_at = time.monotonic()
     answer = await read_message(reader)
     writer.close()
@@ -132,5 +132,5 @@
         and time.monotonic() - sent_at > example.request_class.objective_us / 1e6 - MARGIN_S
     ):
         return False
-    assert (answer.status, answer.body) == (200, example.target.encode()), (example, answer.first, answer.body)
+    assert (answer.status, answer.body) == (200, example.target.encode()), (example, answer.start_line, answer.body)
     return True
--- a/tests/test_smuggling.py
+++ b/tests/test_smuggling.py
@@ -73,7 +73,7 @@
             client = await sidecar.client()
             client.writer.write(get_request(target).encode())
             received = await sidecar.endpoints[0].next()
-            assert received.message.first == f"GET {target} HTTP/1.1"
+            assert received.message.start_line == f"GET {target} HTTP/1.1"
             received.reply()
             assert (await client.answer()).status == 200
 
@@ -147,7 +147,7 @@
             sidecar.host.reload(replace(sidecar.config, plan=changed))
             new.writer.write(get_request("/cart/b").replace("Req-Id: 1", "Req-Id: 2").encode())
             other_request = await sidecar.next()
-            assert other_request.message.first.startswith("GET /cart/b")
+            assert other_request.message.start_line.startswith("GET /cart/b")
             received.reset()
             assert (await old.answer()).status == 502
             other_request.reply()
--- a/tests/thrift/test_faults.py
+++ b/tests/thrift/test_faults.py
@@ -14,7 +14,7 @@
 from eiderhub.protocols.thrift.framing import framed
 from eiderhub.protocols.thrift.replies import LOAD_SHEDDING
 from eiderhub.sidecar import callers
-from tests.sidecar_support import Sidecar, leave, run
+from tests.sidecar_support import Sidecar, disconnect, run
 from tests.thrift.peers import SHED_TYPE, FakeThriftServer, ReceivedCall, ThriftClient
 from tests.thrift.values import encode_with_apache
 
@@ -204,7 +204,7 @@
             for _ in range(3):
                 client.send("pay")
             await next_call(sidecar)
-            leave(client.writer, how)
+            disconnect(client.writer, how)
             await sidecar.endpoints[0].ends.get()  # the pending call has been cancelled
             assert not sidecar.host.requests and not sidecar.host.balancer.calls
             assert sidecar.host.budget.used == 0
--- a/tests/thrift/test_program.py
+++ b/tests/thrift/test_program.py
@@ -11,7 +11,7 @@
 
 from eiderhub.protocols.thrift.definitions import Encoding, ExceptionType
 from standins.discovery import row
-from standins.program import running
+from standins.program import running_sidecar
 from tests.sidecar_support import SETUP, run
 from tests.thrift.peers import FakeThriftServer, ReceivedCall, ThriftClient
 
@@ -54,7 +54,7 @@
     async def test() -> None:
         server = FakeThriftServer()
         await server.start()
-        async with running(tmp_path, sidecar_document(server), OPERATOR) as (process, _, _):
+        async with running_sidecar(tmp_path, sidecar_document(server), OPERATOR) as (process, _, _):
             port = logged_port(tmp_path)
             busy, idle = [await ThriftClient.connect(port, encoding) for _ in range(2)]
             idle.send("Invoice:issue")
@@ -79,7 +79,7 @@
     async def test() -> None:
         server = FakeThriftServer()
         await server.start()
-        async with running(tmp_path, sidecar_document(server), OPERATOR) as (process, _, _):
+        async with running_sidecar(tmp_path, sidecar_document(server), OPERATOR) as (process, _, _):
             client = await ThriftClient.connect(logged_port(tmp_path), Encoding.BINARY)
             client.send("Refund:issue")
             assert (await client.answer()).exception_type == ExceptionType.UNKNOWN_METHOD
