--- a/eiderhub/balancer.py
+++ b/eiderhub/balancer.py
@@ -65,7 +65,7 @@
 # --- concurrency ---
 INITIAL_ENDPOINT_CAP = 7.0  # calls in flight at one endpoint, from all instances together, before learning
 SAFE_ENDPOINT_CAP = 14.0  # above this the cap grows only on evidence gathered at the cap itself
-MIN_ENDPOINT_CAP = 2.0  # fewer would starve healthy endpoints once trouble is over
+MIN_ENDPOINT_CAP = 2.0  # fewer would starve healthy endpoints once a failure is over
 REMOTE_ZONE_SHARE = 0.6  # of an even share, used in other zones, whose own callers come first
 MIN_CAP = 0.1  # calls; small, since the caps of many instances add up
 DITHER_INTERVAL_US = 250_000  # how often a fraction of a call in the cap is granted anew, at random
@@ -88,7 +88,7 @@
 CAP_BINDING_SHARE = 0.7  # the cap binds when this share of it is in use
 MIN_BINDING_SHARE = 0.25  # of a round's outcomes, for growth: a single burst is not evidence
 MIN_BINDING_SHARE_HIGH = 0.5  # the same above the safe cap
-SHARE_KEPT = 0.98  # of the lagged share, per refill window: after a list has shrunk, it loses a fifth in 10 s
+SHARE_KEPT = 0.98  # of the lagged share, per refill window: after a list has shrunk, it loses a third in 10 s
 LOSS_SENSITIVITY = 5.0  # the cap learned above the initial one falls this many times as fast as live capacity
 LOW_PRIORITY_CAP_SHARE = 0.8  # of the cap, open to low-priority calls, so that others find capacity at once
 LOW_PRIORITY_WORTH = 0.5  # a call worth less than this share of the best class has low priority
@@ -110,7 +110,7 @@
 FAILURE_WEIGHT = 0.3  # of the newest outcome in an endpoint's failure rate
 OVERALL_WEIGHT = 0.02  # of the newest outcome in the failure rate and latency of all endpoints
 EJECTION_FAILURE_RATE = 0.45  # two failures in a row exceed it
-EJECTION_PEER_FACTOR = 0.5  # of the overall failure rate, added to it: shared trouble ejects nobody
+EJECTION_PEER_FACTOR = 0.5  # of the overall failure rate, added to that: shared failures eject no endpoint
 FAILURE_RATE_AFTER_EJECTION = 0.35  # one more failure ejects the endpoint again
 RESET_BURST_US = 20_000  # resets this close together mean an ended process, not a corrupt answer
 DRAINING_REJECTIONS = 3  # consecutive rejections after which an endpoint is taken to be draining, not busy
@@ -134,7 +134,7 @@
 UNANSWERED_WEIGHT = 0.1  # of the newest attempt in the unanswered share of its idle bucket
 MAX_UNANSWERED_EXCESS = 0.15  # connections idle this much more often unanswered than others are closed
 IDLE_MIN_SAMPLES = 5  # attempts before a share counts
-IDLE_PROBE_SHARE = 0.1  # of uses of connections presumed dead that go ahead, to notice when the trouble ends
+IDLE_PROBE_SHARE = 0.1  # of uses of connections presumed dead that go ahead, to notice when they work again
 CONNECTION_KEPT_SHARE = 0.8  # of the endpoints' idle timeout, for which a connection is relied on
 HANDSHAKE_CALLS = 10.0  # in-flight calls that a new connection counts as, per unit of its price
 
@@ -303,7 +303,7 @@
 
 
 class LatencyRatio:
-    """The long-term p95 of call latencies over the short-term p95: below 1 the tier is under stress."""
+    """The long-term p95 of call latencies over the short-term p95: well below 1 the tier is under stress."""
 
     def __init__(self, now: int) -> None:
         self.short = (Histogram(), Histogram())  # newer and older half
@@ -399,8 +399,8 @@
         """Return the calls that may be in flight at one moment, while the cap bounds their mean.
 
         A quiet inner instance has a cap of a call or two, which random arrivals exceed all the time: without
-        an allowance it would refuse half-done work beside idle endpoints. The allowance closes as latencies
-        near their target, and is least at the outermost tier, where excess is to be refused.
+        an allowance it would refuse half-done work while endpoints are idle. The allowance shrinks as
+        latencies near their target, and is smallest at the outermost tier, where excess is to be refused.
         """
         cap = self.cap
         return cap + self.burst_factor * self.headroom * (1.0 - saturation) * math.sqrt(cap)
@@ -465,7 +465,7 @@
 
 
 class RetryBudget:
-    """Bounds retries and hedges to a share of first attempts, so that trouble does not multiply the load."""
+    """Bounds retries and hedges to a share of first attempts, so that failures do not multiply the load."""
 
     def __init__(self) -> None:
         self.tokens = RETRY_BURST
@@ -556,7 +556,7 @@
         self.is_ready = entry.readiness is Readiness.READY
         # A draining endpoint may return at once, as with a flapping health check: it is known until removed.
         self.is_listed = entry.readiness is not Readiness.REMOVED
-        if entry.started_us != self.started_at:  # a new process under a known id: what was learned is void
+        if entry.started_us != self.started_at:  # a new process under a known id: discard what was learned
             self.started_at = entry.started_us
             self.cold_tokens, self.cold_tokens_at = -1.0, now
             self.failure_rate = self.relative_latency = 0.0
@@ -604,7 +604,7 @@
 
 
 class Call:
-    """One request that this instance owes an answer for, or has attempts outstanding for."""
+    """One request that has no final answer yet, or still has attempts outstanding."""
 
     __slots__ = (
         "answered", "arrived_at", "attempts", "bucket", "earliest_possible_run", "id", "outstanding",
@@ -726,7 +726,8 @@
         self.size = 0  # allowed endpoints that are ready
         self.remote_share = 0.0  # of this instance's share of them, the part that its zone does not hold
         self.sent_ru = 0.0  # sent recently, by all its classes
-        self.spare_shares: dict[str, float] = {}  # of an even share, left by narrower classes, where below 1
+        # By endpoint id: the part of an even share that narrower classes leave, where it is below 1.
+        self.spare_shares: dict[str, float] = {}
 
     def allows(self, endpoint: EndpointState) -> bool:
         """Return whether the endpoint meets the constraint."""
@@ -836,8 +837,8 @@
                 # Jittered, or all instances that discovery has rejected would poll again in step.
                 self.poll_scheduled = True
                 self.actions.timer(int(self.poll_backoff_us * (0.5 + self.random.random())), POLL_TIMER)
-                # At most the poll interval: four of these after a failed poll the instance counts as notified
-                # of the present list, and nothing new may be sent to endpoints that drain in it.
+                # At most the poll interval: four intervals after a failed poll the instance counts as
+                # notified of the current list, and nothing new may be sent to endpoints that drain in it.
                 self.poll_backoff_us = min(
                     2 * self.poll_backoff_us, MAX_POLL_BACKOFF_US, self.settings.rules.poll_interval_us
                 )
@@ -869,17 +870,18 @@
         self.ready_count = len(ready)
         for candidates in self.candidate_sets:
             allowed = [e for e in ready if candidates.allows(e)]
-            near = [e for e in allowed if e.zone == settings.zone]
-            far = [e for e in allowed if e.zone != settings.zone]
+            local = [e for e in allowed if e.zone == settings.zone]
+            remote = [e for e in allowed if e.zone != settings.zone]
             candidates.size = len(allowed)
-            # Instances are spread over the zones about as endpoints are, and other zones have their own. Of a
-            # few instances one may have a larger share than its zone holds, and would crowd the zone with it.
+            # Instances are spread over the zones about as endpoints are, so that other zones have instances
+            # of their own. With few instances, the even share of one may exceed the endpoints of its zone,
+            # and would crowd that zone.
             even_share = len(allowed) / settings.balancers
-            local_share = min(even_share, len(near))
+            local_share = min(even_share, len(local))
             candidates.remote_share = even_share - local_share
             for pool, members, share in (
-                (candidates.local, near, local_share),
-                (candidates.remote, far, max(REMOTE_ZONE_SHARE * even_share, candidates.remote_share)),
+                (candidates.local, local, local_share),
+                (candidates.remote, remote, max(REMOTE_ZONE_SHARE * even_share, candidates.remote_share)),
             ):
                 pool.limit.set_endpoint_share(share)
                 pool.usage_read_at = 0
@@ -1114,14 +1116,14 @@
     def _should_spill_over(self, now: int, call: Call) -> bool:
         """Return whether a call that this zone has no capacity for goes to another one now.
 
-        The higher the price of the crossing against the call's worth, the longer the call waits before.
+        The higher the price of the crossing against the call's worth, the longer the call waits before it.
         """
         price = self.settings.prices.cross_zone
         gain = self.worth[call.priority] * SPILLOVER_GAIN
         if gain <= price:
             return False
         # Part of this instance's own share lies in other zones. If calls waited for it, those that may not be
-        # queued would be refused over the stress of one near endpoint, beside idle ones.
+        # queued would be refused for the stress of one local endpoint, while others are idle.
         if self.candidates[call.request_class.name].remote_share > 0:
             return True
         return now - call.arrived_at >= price / gain * QUEUE_TIME_SHARE * call.request_class.objective_us
@@ -1135,7 +1137,7 @@
         previous = call.attempts
         spare_shares = self.candidates[call.request_class.name].spare_shares
         candidate_count = 0
-        # Random draws come first. A retry that finds no endpoint is refused, so it then tries each member.
+        # Random draws come first. For a retry, which is refused if it finds no endpoint, each member follows.
         for index in range(-2 * DRAWS_PER_CANDIDATE, member_count if previous else 0):
             endpoint = members[index if index >= 0 else int(self.random.random() * member_count)]
             if endpoint is best or (previous and any(a[0] is endpoint for a in previous)):
@@ -1191,8 +1193,9 @@
     def _traffic_fraction(self, now: int, endpoint: EndpointState, slow_start: float) -> float:
         """Return the fraction of a warm endpoint's calls for this one: slow start, recovery and peer reports.
 
-        A draw of a cold endpoint stands only with the probability of its least capacity. So each instance,
-        and all of them together, send it that fraction of what warm endpoints get, and do not overload it.
+        A cold endpoint that is drawn is kept only with a probability equal to its minimum capacity. So each
+        instance, and all of them together, send it that fraction of what warm endpoints get, and do not
+        overload it.
         """
         return slow_start * self._recovery_fraction(now, endpoint) * endpoint.peer_factor
 
@@ -1372,7 +1375,7 @@
         ok = outcome is Outcome.OK
         latency = spent_us / call.request_class.objective_us
         # A draining endpoint rejects calls at once, seconds before the list shows it. With few in flight it
-        # draws most of the attempts, and each rejection would count as crowding and cut the cap.
+        # attracts most of the attempts, and each rejection would count as crowding and cut the cap.
         endpoint.rejections_in_a_row = endpoint.rejections_in_a_row + 1 if outcome is Outcome.REJECTED else 0
         is_draining = endpoint.rejections_in_a_row >= DRAINING_REJECTIONS
         if is_draining and not endpoint.in_flight:
@@ -1417,7 +1420,7 @@
             self._eject(now, endpoint, "fails")
 
     def _eject(self, now: int, endpoint: EndpointState, reason: str) -> None:
-        """Keep calls from an endpoint for a while, unless too many endpoints are ejected already."""
+        """Send an endpoint no calls for a while, unless too many endpoints are ejected already."""
         if now < endpoint.ejected_until:
             return
         self.ejected = [o for o in self.ejected if o is not endpoint and now < o.ejected_until + RECOVERY_US]
@@ -1436,13 +1439,13 @@
         )
 
     def _retry_or_refuse(self, now: int, call: Call, outcome: Outcome) -> None:
-        """Handle the end of all attempts without an answer: retry if that is legal and useful, or refuse."""
+        """Handle the end of all attempts without an answer: retry if allowed and useful, or refuse."""
         settings = self.settings
         limit = min(MAX_ATTEMPTS if settings.layer == 0 else MAX_ATTEMPTS_INNER, settings.limits.max_attempts)
         limit = min(limit, call.request_class.max_attempts or limit)
         allowed = call.earliest_possible_run is None or call.request_class.effect is not Effect.AT_MOST_ONCE
         allowed = allowed and len(call.attempts) < limit and now < call.useful_until - ANSWER_MARGIN_US
-        # An attempt that never ran has made no work: the budget is for retries of those that may have.
+        # An attempt that never ran has caused no work: the budget is for retries of those that may have.
         if allowed and (outcome in NEVER_RAN or self.retry_budget.spend()):
             for pool in self.candidates[call.request_class.name].pools:
                 if pool.subset.members and (endpoint := self._pick_endpoint(now, pool, call)) is not None:
@@ -1459,7 +1462,7 @@
             endpoint.peer_factor = min(max(factors.get(endpoint.id, 1.0), MIN_PEER_FACTOR), 1.0)
 
     def expired(self, now_us: int, call: str) -> None:
-        """Close a call that its client has given up."""
+        """Close a call that its client has given up or the host has answered."""
         found = self.calls.get(call)
         if found is None:
             return
--- a/eiderhub/membership/consul/client.py
+++ b/eiderhub/membership/consul/client.py
@@ -118,7 +118,7 @@
 
 
 def _gunzip(body: bytes, max_bytes: int) -> bytes:
-    """Raises ValueError if the data is truncated, not gzip, or longer than `max_bytes` once decompressed."""
+    """Decompress gzip data. Raises ValueError if it is truncated, not gzip, or decompresses to over `max_bytes`."""
     decompressor = zlib.decompressobj(zlib.MAX_WBITS | 16)
     try:
         decompressed = decompressor.decompress(body, max_bytes)
--- a/eiderhub/membership/endpoint_list.py
+++ b/eiderhub/membership/endpoint_list.py
@@ -17,9 +17,9 @@
 
 
 class EndpointList(NamedTuple):
-    """One list of the platform: all endpoints if `is_full`, else the changes since an earlier generation."""
+    """One list of the platform and its version: all endpoints if `is_full`, else the changes since a version."""
 
-    generation: int
+    generation: int  # the version
     is_full: bool
     entries: list[ListedEndpoint]
 
--- a/eiderhub/membership/list_client.py
+++ b/eiderhub/membership/list_client.py
@@ -43,12 +43,12 @@
             self._connection.close()
             self._connection = None
 
-    def on_response(self, link: Connection, attempt: object, response: Response, reusable: bool) -> None:
+    def on_response(self, connection: Connection, attempt: object, response: Response, reusable: bool) -> None:
         """Complete the pending request."""
         if self._response is not None and not self._response.done():
             self._response.set_result(response)
 
-    def on_lost(self, link: Connection) -> None:
+    def on_lost(self, connection: Connection) -> None:
         """Fail the pending request."""
         if self._response is not None and not self._response.done():
             self._response.set_exception(ConnectionResetError("connection closed before a valid response"))
--- a/eiderhub/membership/poll_schedule.py
+++ b/eiderhub/membership/poll_schedule.py
@@ -19,7 +19,8 @@
 RECHECK_TIMEOUT_S = 1.5  # a request that is given up loses its position in discovery's queue
 REFUSED_PAUSE_S = 0.25  # pause after a recheck that was refused
 FULL_LIST_TIMEOUT_S = 2.5  # after a reload all instances request the full list at once and are served one by one
-FULL_LIST_PAUSE_S = (0.25, 1.0)  # first and longest pause until the full list has come: it counts 4 s after SIGHUP
+# First and longest pause until the full list has come: it counts as notified 4 s after SIGHUP.
+FULL_LIST_PAUSE_S = (0.25, 1.0)
 MIN_GRACE_US = 250_000  # with a shorter one the requests to an agent would follow each other without a pause
 AGENT_WAIT_SHARE = 0.4  # of the grace, the wait of a watch of a local agent: its answer counts as notified at once
 AGENT_TIMEOUT_SHARE = 0.25  # of the grace, the timeout beyond that wait, and the longest pause after a failure
--- a/eiderhub/membership/watch_suspicion.py
+++ b/eiderhub/membership/watch_suspicion.py
@@ -13,7 +13,7 @@
 
 
 class WatchSuspicion:
-    """Suspicion against one watch. Times are microseconds of one clock."""
+    """The suspicion state of one watch. Times are microseconds of one clock."""
 
     def __init__(self, offset: float, instances: int, poll_interval_us: int) -> None:
         """`offset` is this instance's position among all that poll the same discovery, from 0 to 1."""
--- a/eiderhub/sidecar/options.py
+++ b/eiderhub/sidecar/options.py
@@ -32,20 +32,20 @@
 def check(pair: FilePair) -> None:
     """Report findings on the listen address and on the descriptors for the expected rate."""
     limits: dict[str, Any] = pair.tables.get("limits", {})
-    spot = pair.operator / "limits"
+    location = pair.operator / "limits"
     if limits.get("listen") == LOOPBACK:
         _check_listen(pair.document.get("listen"), pair.sidecar / "listen")
     if limits.get("rate"):
         objectives_us = [row["AimUs"] for row in pair.categories if "AimUs" in row]
-        _check_rate(pair.document.get("limits") or {}, objectives_us, limits["rate"], spot / "rate")
+        _check_rate(pair.document.get("limits") or {}, objectives_us, limits["rate"], location / "rate")
 
 
-def _check_listen(listen: str | None, spot: Location) -> None:
+def _check_listen(listen: str | None, location: Location) -> None:
     if listen is None:
         return
     host = listen.rpartition(":")[0].strip("[]")
     if host != "localhost" and not ip_address(host).is_loopback:
-        spot.error(
+        location.error(
             "listen",
             f"{listen} is not a loopback address, and limits.listen requires one",
             "Other machines could reach the sidecar",
@@ -53,7 +53,7 @@
         )
 
 
-def _check_rate(limits: dict[str, Any], objectives_us: list[int], rate: float, spot: Location) -> None:
+def _check_rate(limits: dict[str, Any], objectives_us: list[int], rate: float, location: Location) -> None:
     """Report a finding if the descriptors do not suffice for the expected rate.
 
     Each request is assumed to be open for the longest latency objective.
@@ -65,7 +65,7 @@
     max_connections = min(bounds.caller_connections, bounds.endpoint_connections)
     needed = math.ceil(rate * max(objectives_us) / 1e6)
     if needed > max_connections:
-        spot.error(
+        location.error(
             "descriptors",
             f"{rate:g} requests a second, open for up to {format_duration(max(objectives_us))}, need {needed} "
             f"connections on each side; {sockets} descriptors allow {max_connections}",
--- a/eiderhub/sidecar/upstream.py
+++ b/eiderhub/sidecar/upstream.py
@@ -90,7 +90,7 @@
 
     def __init__(self, upstream: Upstream, target: Target, labels: frozenset[str]) -> None:
         self.upstream = upstream
-        self.labels = labels  # "name=value" facts of the endpoint
+        self.labels = labels  # "name=value" attributes of the endpoint
         self.target = target
         self.ready = True  # False once the endpoint drains or is removed
         self.idle: list[EndpointConnection] = []  # without attempts; the most recently used one is last
@@ -234,7 +234,7 @@
             pool.close_idle()
 
     def send(self, attempt: Attempt) -> None:
-        """Start an attempt. It never ends within this call, which the decision module has made itself."""
+        """Start an attempt. It never ends within this call, in which the decision module is still running."""
         pool = self.pools.get(attempt.endpoint)
         loop = asyncio.get_running_loop()
         if pool is None:
--- a/tests/membership/test_poll_schedule.py
+++ b/tests/membership/test_poll_schedule.py
@@ -65,7 +65,7 @@
 
 @pytest.mark.parametrize("instances", [8, 200])
 def test_watches_that_fall_silent_together_do_not_time_out_together(instances: int) -> None:
-    """Seven watches of calm+brink, seed 1, ended in one moment, and discovery took over a second for their rechecks.
+    """In a simulation, seven watches ended at the same moment, and discovery took over a second for their rechecks.
 
     In the worst case discovery serves one request of each instance within 8 s, one after another: each must be answered
     before the next is sent.
@@ -86,7 +86,7 @@
 
 
 def test_the_full_list_is_requested_from_a_new_address_until_it_has_come() -> None:
-    """The list of the new address counts 4 s after SIGHUP, which leaves time for a timeout and a refusal.
+    """The list of the new address counts as notified 4 s after SIGHUP, which leaves time for a timeout and a refusal.
 
     There is no time for more of them, since with a timeout shorter than discovery's queue each instance would lose its
     position there again and again.
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -312,7 +312,7 @@
 
 
 def play_with_idle_connections(host: RecordingHost, calls: int, dead_after_us: int) -> int:
-    """Space calls so that connections idle; count those unanswered as their connection was idle too long."""
+    """Pause between calls so that connections idle; return how many calls used one idle for too long."""
     last_used_at: dict[str, int] = {}
     unanswered = 0
     for i in range(calls):
--- a/tests/test_caller_disconnects.py
+++ b/tests/test_caller_disconnects.py
@@ -13,7 +13,7 @@
 from tests.sidecar_support import SETUP, Client, FakeServer, Sidecar, disconnect, next_request, run
 from tests.test_sidecar import RecordingCaller, direct_request
 
-MAX_FORWARD_DELAY_S = 0.3  # required by the users: from the caller's disconnect to the last byte forwarded for it
+MAX_FORWARD_DELAY_S = 0.3  # a requirement: from the caller's disconnect to the last byte forwarded for it
 
 
 async def attempt_cancelled(fake: FakeServer) -> None:
--- a/tests/test_cap.py
+++ b/tests/test_cap.py
@@ -106,7 +106,7 @@
 def test_learned_cap_shrinks_with_unreachable_endpoints_but_not_with_corrupt_answers(
     outcome: Outcome, shrinks: bool
 ) -> None:
-    """Guards against a cap that shrinks for healthy endpoints which corrupt answers got ejected."""
+    """Guards against a cap that shrinks because live endpoints are ejected for corrupt answers."""
     host, ids = fleet()
     limit = host.balancer.candidate_sets[0].local.limit
     limit.endpoint_cap = 2 * INITIAL_ENDPOINT_CAP
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -36,7 +36,7 @@
 
 
 def test_new_address_that_fails_at_first_is_retried_at_once() -> None:
-    """A long back-off must not delay the watch: the new address's notifications count from 4 s after the reload."""
+    """A long backoff must not delay the watch: the new address's notifications count from 4 s after the reload."""
 
     async def test() -> None:
         async with Sidecar() as sidecar:
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -129,7 +129,7 @@
 
 
 def test_discovery_is_polled_while_endpoints_refuse_and_the_watch_is_replaced() -> None:
-    """Guards against silent watches of up to 30 s while most endpoints are replaced, as in join+mass (60% of them)."""
+    """Guards against silent watches of up to 30 s while most endpoints (60% in a simulation) are replaced."""
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
