--- a/eiderhub/balancer.py
+++ b/eiderhub/balancer.py
@@ -266,7 +266,7 @@
 
         Quotas are split evenly, and some of many instances get several times the mean. Without this factor
         all tenants there exceed their share and rank alike, so that those well within their share of the
-        whole are refused beside one far over it. The factor is the one that at least half of the tenants
+        whole are refused along with one far over it. The factor is the one that at least half of the tenants
         reach by their served calls: a single tenant with more traffic does not raise it, nor do the repeats
         of a request by its client, of which only one is served.
         """
--- a/eiderhub/policy/load_weight.py
+++ b/eiderhub/policy/load_weight.py
@@ -1,4 +1,4 @@
-"""How many calls an endpoint gets beside its peers, learned from the CPU load that they report.
+"""How many calls an endpoint gets compared with its peers, learned from the CPU load that they report.
 
 A listed weight gives the number of cores, not their speed, and own latencies hide the speed where most of a
 call is spent in the tiers behind. Reports arrive seconds late, and all instances read the same ones: if each
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -55,7 +55,7 @@
 
 
 def test_low_worth_class_spills_over_where_the_goal_counts_each_class_alike() -> None:
-    """Guards against a zone with half of the clients that refuses its class of low worth beside idle zones."""
+    """Guards against a zone with half of the clients that refuses its class of low worth while others are idle."""
     entries = make_endpoints(4) + make_endpoints(4, zone="west", start=4)
     low_worth = replace(IDEMPOTENT, worth=0.1)
     high_worth = replace(AT_MOST_ONCE, name="high-worth")
@@ -258,7 +258,7 @@
 
 
 def test_random_bursts_above_the_cap_pass_while_uncrowded() -> None:
-    """Guards against quiet instances that, by a cap of one call, queue and refuse calls beside idle endpoints."""
+    """Guards against quiet instances that, by a cap of one call, queue and refuse calls while endpoints are idle."""
     for layer, latency, saturation, allowance in (
         (1, 0.05, 0.0, 1.5),
         (0, 0.05, 0.0, 0.4),
--- a/tests/test_many_instances.py
+++ b/tests/test_many_instances.py
@@ -134,8 +134,8 @@
 def test_cold_endpoints_of_a_rollout_get_their_share_of_the_load() -> None:
     """During a rollout of 60% of the endpoints within 7 s, the others got 95% of the calls for 5 s and slowed down.
 
-    With capacity shares from 0.4 to 0.6, the 36 cold endpoints have the capacity of 18 warm ones beside 24: a share of
-    0.43.
+    With capacity shares from 0.4 to 0.6, the 36 cold endpoints have the capacity of 18 warm ones, next to 24: a share
+    of 0.43.
     """
     rules = Rules(warm_up_us=12 * S, cold_capacity_share=0.4, overload_factor=3.0)
     fresh = {e.id: e._replace(started_us=NOW + 10 * S) for e in make_endpoints(36)}
