--- a/eiderhub/config/load.py
+++ b/eiderhub/config/load.py
@@ -108,7 +108,7 @@
             fleet=_fleet_options(decoded, pair, config.name),
         )
     except (ConfigError, ValueError) as error:
-        pair.sidecar.error("start", str(error), "No sidecar starts from it", "Correct the value")
+        pair.sidecar.error("start", str(error), "The sidecar would not start", "Correct the value")
         return None
 
 
--- a/eiderhub/config/operator_file.py
+++ b/eiderhub/config/operator_file.py
@@ -57,7 +57,7 @@
             (location / name).error(
                 "not-installed",
                 f"the table needs {error.name}, which is not installed",
-                "No sidecar starts from it",
+                "The sidecar would not start",
                 f"Install eiderhub[{name}], or remove the table",
             )
             continue
--- a/eiderhub/config/sidecar_file.py
+++ b/eiderhub/config/sidecar_file.py
@@ -236,7 +236,9 @@
 def _check_classes(settings: dict[str, Any], location: Location) -> None:
     rows = settings.get("Categories", [])
     if "Categories" in settings and not rows:
-        location.error("no-classes", "no class is declared", "No sidecar starts from it", "Declare at least one class")
+        location.error(
+            "no-classes", "no class is declared", "The sidecar would not start", "Declare at least one class"
+        )
     seen: dict[str, tuple[int, dict[str, Any]]] = {}
     for i, row in enumerate(rows):
         row_location = location / i
@@ -252,7 +254,7 @@
 def _check_same_name(name: str, row: dict[str, Any], other: dict[str, Any], location: Location) -> None:
     if other["Name"] == name:
         location.error(
-            "duplicate", f"the class {name!r} is declared twice", "No sidecar starts from it", "Keep one of them"
+            "duplicate", f"the class {name!r} is declared twice", "The sidecar would not start", "Keep one of them"
         )
     elif other.get("Effect") != row.get("Effect"):
         location.error(
@@ -302,7 +304,7 @@
         (location / "DedupWindowUs").error(
             "no-window",
             "the class is keyed, but its deduplication window is 0",
-            "No sidecar starts from it, or no repeat would ever be sent",
+            "The sidecar would not start, or no repeat would ever be sent",
             "State how long endpoints drop repeats, or make the class at_most_once",
         )
     known = declared_classes().get(fold_name(name))
@@ -351,7 +353,7 @@
         name = row.get("Name", "")
         if name in seen:
             (location / i / "Name").error(
-                "duplicate", f"the tenant {name!r} is declared twice", "No sidecar starts from it", "Keep one of them"
+                "duplicate", f"the tenant {name!r} is declared twice", "The sidecar would not start", "Keep one of them"
             )
         seen.add(name)
         if name and not re.fullmatch(r"[\x21-\x7e](?:[\x20-\x7e]*[\x21-\x7e])?", name):
@@ -377,7 +379,7 @@
         (location / "Layer").error(
             "layer",
             f"the tier {layer} is not below the number of tiers, {len(tiers)}",
-            "No sidecar starts from it",
+            "The sidecar would not start",
             f"Write 0 to {len(tiers) - 1}",
         )
     rank, count = settings.get("Rank", 0), settings.get("Balancers", 1)
@@ -439,7 +441,7 @@
         (root / "discovery").warn(
             "no-endpoints",
             "neither discovery nor any endpoint is configured",
-            "No sidecar starts from it unless GW_DISCOVERY is set",
+            "The sidecar would not start unless GW_DISCOVERY is set",
             "Set discovery, list endpoints under 'known', or configure Consul in the operator's file",
         )
     if listen and listen == document.get("discovery"):
--- a/eiderhub/protocols/thrift/options.py
+++ b/eiderhub/protocols/thrift/options.py
@@ -120,7 +120,7 @@
         field_paths.build_tree(row["fields"].items())
     except ValueError as error:
         (location / "fields").error(
-            "field-path", str(error), "The sidecar can't start with it", "Give each value its own field"
+            "field-path", str(error), "The sidecar would not start", "Give each value its own field"
         )
     if not pair.document:
         return
@@ -205,8 +205,8 @@
 def _class_name_of(name: str, table: RouteTable, effects: dict[str, str], use_method_name: bool) -> str | None:
     """Return the class of a method's calls by the routes; without a match, the method's name if that is a class."""
     service, _, method = name.rpartition(":")
-    asked = RequestAttributes("thrift", segments=(method.encode(),), service=service or None, call=method)
-    route = table.find(asked)
+    attributes = RequestAttributes("thrift", segments=(method.encode(),), service=service or None, call=method)
+    route = table.find(attributes)
     if route is not None:
         return route.class_name if route.class_name in effects else None
     return method if use_method_name and method in effects else None
@@ -214,12 +214,12 @@
 
 def _check_disguises(pair: FilePair, effects: dict[str, str]) -> None:
     """Check that no route by method name gives a class less strict than the effect declared for that name."""
-    for route_spot, row in pair.tables.get("routes", []):
+    for route_location, row in pair.tables.get("routes", []):
         declaration = declared_classes().get(fold_name(row["call"] or ""))
         if declaration is None or row["class"] not in effects:
             continue
         if STRICTNESS[effects[row["class"]]] < STRICTNESS[declaration.effect.value]:
-            (route_spot / "call").error(
+            (route_location / "call").error(
                 "disguise",
                 f"calls of {row['call']!r} would be of the class {row['class']!r}, which is repeated more freely",
                 "A request that must not be repeated would be sent again",
