--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -107,12 +107,12 @@
         while time.monotonic() < end:
             number += 1
             headers = {"Host": "a", "Req-Id": f"{id(writer):x}-{number}-{self.index}", "Req-Owner": "acme"}
-            begun = time.monotonic()
+            started_at = time.monotonic()
             writer.write(format_request("GET", "/look/item", headers | {"Req-Deadline-Ms": "5000"}))
             message = await read_message(reader)
             if message.status != 200:
                 raise SystemExit(f"unexpected status {message.status}")
-            latencies.append((time.monotonic() - begun) * 1e3)
+            latencies.append((time.monotonic() - started_at) * 1e3)
             await asyncio.sleep(0.004)
         writer.close()
 
@@ -173,12 +173,12 @@
             while len(agent.requests) < 2 * SERVICES:  # each service is polled again once its list is in force
                 await asyncio.sleep(0.01)
             small_mb = memory_mb(process.pid)
-            requests, begun = len(agent.requests), time.monotonic()
+            requests, started_at = len(agent.requests), time.monotonic()
             for i, name in enumerate(names):
                 agent.set(name, *[instance(name, f"10.{i}.0.{k}:80", "passing", f"n{k}") for k in range(NODES)])
             while len(agent.requests) < requests + SERVICES:
                 await asyncio.sleep(0.001)
-            took_ms = (time.monotonic() - begun) * 1e3
+            took_ms = (time.monotonic() - started_at) * 1e3
             await asyncio.sleep(1.0)
             cpu = subject.cpu_s()
             await asyncio.sleep(1.0)
--- a/benchmarks/overload_recovery/model.py
+++ b/benchmarks/overload_recovery/model.py
@@ -1,8 +1,8 @@
-"""Virtual time, and a model of endpoints that slow down under overload, after the users' description.
+"""Virtual time, and a model of endpoints that slow down under overload, as the operators describe them.
 
 An endpoint whose mean number of requests over some seconds is far above its number of cores becomes two to three times
-slower, and stays slow until its cores were mostly idle for some seconds. Work on requests that the sidecar has given up
-goes on.
+slower, and stays slow until its cores were mostly idle for some seconds. It continues to work on requests that the
+sidecar has given up.
 """
 
 from __future__ import annotations
--- a/eiderhub/config/description.py
+++ b/eiderhub/config/description.py
@@ -193,21 +193,21 @@
             "Give discovery or endpoints",
         )  # fmt: skip
     for name, row in table["classes"].items():
-        table_location = location / "classes" / name
+        class_location = location / "classes" / name
         if row["repeat"] == "keyed" and not row["remembered"]:
-            (table_location / "remembered").error(
+            (class_location / "remembered").error(
                 "missing",
                 "a keyed class needs it",
                 "No repeat could be sent",
                 "State how long endpoints remember a key",
             )
         elif row["repeat"] != "keyed" and row["remembered"]:
-            (table_location / "remembered").error(
+            (class_location / "remembered").error(
                 "unused", f"the class is {row['repeat']!r} and has no keys", "It would have no effect",
                 'Remove it, or write repeat = "keyed"',
             )  # fmt: skip
         elif row["remembered"] and row["remembered"] <= table["servers"]["connect"]:
-            (table_location / "remembered").error(
+            (class_location / "remembered").error(
                 "window",
                 f"{format_duration(row['remembered'])} is not longer than the connect timeout, "
                 f"{format_duration(table['servers']['connect'])}",
--- a/eiderhub/fleet/command.py
+++ b/eiderhub/fleet/command.py
@@ -61,7 +61,7 @@
     print(
         f"{document['name']}: view {document['view']}, {document['here']} present, "
         f"{document['same']} of {document['roster']} hold it "
-        f"({majority}), {len(document['other'])} hold another, {len(document['unheard'])} not heard; "
+        f"({majority}), {len(document['other'])} hold another, {len(document['unheard'])} reported none lately; "
         f"written {time.time() - document['at']:.0f} s ago"
     )
     print(f"{'member':<24} {'state':<8} {'for':>9} {'reported by':<24} {'incarnation':>12}  build")
@@ -108,10 +108,10 @@
         print(f"{options.member}: {document['name']} does not know this member", file=sys.stderr)
         return 1
     for row in rows:
-        heard = "none" if row["heard_s"] is None else f"received {row['heard_s']:.1f} s before this was written"
+        last_seen = "none" if row["heard_s"] is None else f"received {row['heard_s']:.1f} s before this was written"
         print(
             f"{row['member']} at {row['address']} has been {row['state']} for {row['since_s']:.1f} s, reported by "
-            f"{row['word']}; incarnation {row['incarnation']}, build {row['build']}; last message from it: {heard}"
+            f"{row['word']}; incarnation {row['incarnation']}, build {row['build']}; last message from it: {last_seen}"
         )
     for event in events[-50:]:
         print(_format_event(event))
--- a/eiderhub/fleet/node.py
+++ b/eiderhub/fleet/node.py
@@ -23,7 +23,7 @@
 from eiderhub.sidecar.clock import UNIX_OFFSET_US, Timer, now_us
 
 MAX_READS_PER_S = 2000  # datagrams: an unknown sender's takes about 2 us, one that is decoded about 60 us
-MAX_READ_BURST = 64  # datagrams in one turn of the event loop: up to 4 ms
+MAX_READ_BURST = 64  # datagrams in one iteration of the event loop: up to 4 ms
 READ_PAUSE_S = 0.02  # pause of reading after the budget is used up
 RECEIVE_BUFFER_BYTES = 1 << 16  # of the kernel
 EVIDENCE_INTERVAL_S = 0.25  # between evaluations of the evidence
--- a/eiderhub/fleet/protocol.py
+++ b/eiderhub/fleet/protocol.py
@@ -51,7 +51,7 @@
 MIN_SUSPICION_PERIODS = 4.0  # times log10 of the fleet's size: the shortest time that a suspect has to refute
 MAX_SUSPICION_MULTIPLE = 4.0  # of the shortest time: the time that a suspect has while only one member suspects it
 RETRANSMIT_MULTIPLIER = 3.0  # times log2 of the fleet's size: how often each update is sent
-DEPARTED_RETENTION_US = 600_000_000  # failed and left members are kept so long, so that stale updates are recognized
+DEPARTED_RETENTION_US = 600_000_000  # how long failed and left members are kept, to recognize stale updates
 CLEANUP_PERIODS = 32  # periods between removals of departed members whose retention has ended
 # Share of the periods that end with a probe of a failed or unmatched address, so that the two sides of a partition
 # find each other again.
@@ -61,7 +61,7 @@
 MAX_MEMBERS = 4096  # entries of the table; updates on further names are dropped
 MAX_BROADCASTS = 512  # queued updates
 STALL_PERIODS = 2.0  # a tick that is later than this means that this process itself was suspended
-OVERLOAD_GRACE_PERIODS = 4.0  # no member is declared failed for so long after datagrams were left unread
+OVERLOAD_GRACE_PERIODS = 4.0  # how long no member is declared failed after datagrams were left unread
 NAME_CONFLICT_COUNT = 4  # updates from a process with the same name, in NAME_CONFLICT_WINDOW_US, that settle a conflict
 NAME_CONFLICT_WINDOW_US = 20_000_000
 MAX_FORWARDED_PINGS = 64  # pings on behalf of others that are under way
@@ -389,7 +389,7 @@
             return
         known = self.table.get(update.name)
         if known is None:
-            # An unknown member is stored even as failed or left: otherwise its update would be sent here for ever.
+            # An unknown member is stored even as failed or left: otherwise its update would be sent here forever.
             if update.state is not State.SUSPECT:
                 self._apply(now, update, reporter)
             else:
@@ -418,7 +418,7 @@
                 and update.boot_id > own.boot_id
             ):
                 self.has_lost_name = True
-                self._record_event(now, "yielded", own.name, "another process bears this name")
+                self._record_event(now, "yielded", own.name, "another process has this name")
                 return
         if update.incarnation > own.incarnation or (
             update.incarnation == own.incarnation and (update.state is not State.ALIVE or update.supersedes(own))
--- a/eiderhub/protocols/http1/client.py
+++ b/eiderhub/protocols/http1/client.py
@@ -155,7 +155,7 @@
 
 
 def classify(response: Response) -> Outcome:
-    """Return the outcome of a response, as PROTOCOL defines it.
+    """Return the outcome of a response, as the platform's HTTP protocol defines it.
 
     A 503 or 504 without `Srv-Declined: 1` is an error after which the request may have run.
     """
--- a/eiderhub/protocols/http1/server.py
+++ b/eiderhub/protocols/http1/server.py
@@ -40,7 +40,7 @@
     504: b"Gateway Timeout",
 }
 NOT_FORWARDED = HOP_BY_HOP | {b"req-deadline-ms"}  # each attempt writes its own remaining time
-# Headers that endpoints and the sidecar must read alike. Repeated, they leave open which value counts.
+# Headers that endpoints and the sidecar must read alike. If one is repeated, it is unclear which value counts.
 SINGLE_VALUE_HEADERS = frozenset((b"host", b"idempotency-key", b"cookie", b"content-length", b"transfer-encoding"))
 # Some servers let these replace the method or the path, so that the request would bypass the routes.
 OVERRIDE_HEADERS = frozenset(
@@ -461,7 +461,7 @@
 
 
 def _check_method(incoming: IncomingRequest, request_class: RequestClass, headers: dict[bytes, bytes]) -> None:
-    """Check that method, idempotency key and body match the class, as PROTOCOL requires.
+    """Check that method, idempotency key and body match the class, as the platform's HTTP protocol requires.
 
     A request that differs was meant for another class. Raises Rejected.
     """
--- a/eiderhub/protocols/thrift/admission.py
+++ b/eiderhub/protocols/thrift/admission.py
@@ -105,7 +105,7 @@
     def _request_class(self, plan: Plan, name: bytes, tenant: str | None) -> RequestClass | None:
         """Return the class that the routes give; if no route matches, the class named as the method."""
         service, method = split_service(name)
-        asked = RequestAttributes(
+        attributes = RequestAttributes(
             "thrift",
             "",
             (method,),
@@ -115,7 +115,7 @@
             service.decode("utf-8", "replace") or None,
             method.decode("utf-8", "replace"),
         )
-        return plan.class_of(asked)
+        return plan.class_of(attributes)
 
     def _tenant(self, values: Mapping[str, Value]) -> str | None:
         value = values.get(TENANT)
--- a/eiderhub/protocols/thrift/client.py
+++ b/eiderhub/protocols/thrift/client.py
@@ -118,8 +118,8 @@
 
 
 def _convert_message(message: bytes, header: MessageHeader, to: Encoding) -> tuple[bytes, MessageHeader]:
-    made = convert(message, header, to, header.seqid)
-    return made, read_header(made, to)
+    converted = convert(message, header, to, header.seqid)
+    return converted, read_header(converted, to)
 
 
 class Connection(EndpointConnection):
--- a/eiderhub/routing/conflicts.py
+++ b/eiderhub/routing/conflicts.py
@@ -65,7 +65,7 @@
 
 
 def _candidate_pairs(routes: Sequence[Route]) -> Iterator[tuple[int, int]]:
-    """Yield the pairs of indexes that may overlap: with the same first segment, or one without a literal one."""
+    """Yield the pairs of indexes that may overlap: equal first segments, or at least one that is not a literal."""
     by_first_segment: dict[bytes, list[int]] = defaultdict(list)
     without_literal: list[int] = []
     for i, route in enumerate(routes):
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -47,7 +47,7 @@
         return self
 
     def update(self, entry: dict[str, Any]) -> None:
-        """Add an endpoint, change its state, or remove it if it is gone."""
+        """Add an endpoint, change its state, or remove it if its state is "gone"."""
         self.generation += 1
         self.changes.append((self.generation, entry))
         if entry["lifecycle"] == "gone":
--- a/tests/fleet/test_protocol.py
+++ b/tests/fleet/test_protocol.py
@@ -223,7 +223,7 @@
 def test_probes_of_unreachable_contacts_reach_each_unmatched_one_and_skip_the_others(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A probe that scans all contacts takes most of the processor time in a fleet of 1,000 members."""
+    """A probe that scanned all contacts would take most of the processor time in a fleet of 1,000 members."""
     count, missing = 200, {150, 151, 152}
     world = World(count, 1)
     member = world.start(0)
