--- a/eiderhub/fleet/protocol.py
+++ b/eiderhub/fleet/protocol.py
@@ -418,7 +418,7 @@
                 and update.boot_id > own.boot_id
             ):
                 self.has_lost_name = True
-                self._record_event(now, "yielded", own.name, "another process has this name")
+                self._record_event(now, "yielded", own.name, "another process bears this name")
                 return
         if update.incarnation > own.incarnation or (
             update.incarnation == own.incarnation and (update.state is not State.ALIVE or update.supersedes(own))
