--- a/eiderhub/config/write.py
+++ b/eiderhub/config/write.py
@@ -214,23 +214,21 @@
 
 
 def _notes(table: dict[str, Any], layer: int, attempt_limit: int, harmless_classes: list[str]) -> dict[str, str]:
+    # Texts of written files stay as they are: the same description gives the same bytes in all versions.
     connect = format_duration(table["servers"]["connect"])
     notes = {
-        "seed": "derived from the name, so that the same description gives the same file; it should differ between the "
-        "sidecars of one tier",
-        "settings.Allowed.MaxAttempts": f"{attempt_limit}: as many as fit into the shortest deadline if each takes "
-        f"{connect} to fail, up to the decision module's limit in tier {layer}",
+        "seed": "from the name, so that the same description gives the same file; sidecars of one tier should differ",
+        "settings.Allowed.MaxAttempts": f"{attempt_limit}: as many as fit into the shortest give-up time if each takes "
+        f"{connect} to fail, and no more than the module makes of them in tier {layer}",
         "settings.Allowed.SecondCopies": f"for {', '.join(harmless_classes)}, which are harmless to repeat"
         if harmless_classes and layer == 0
-        else "off: in an inner tier, hedged requests would multiply those of the outer tiers"
+        else "off: in an inner tier copies multiply"
         if layer
         else "off: no class is harmless to repeat",
-        "settings.Allowed.MaxRetryAfterUs": "the longest Retry-After that clients obey, from the description",
+        "settings.Allowed.MaxRetryAfterUs": "the longest wait that clients obey, as described",
     }
     if table["tenants"]:
-        notes["settings.Parties"] = (
-            f"QuotaPerS is the share of {table['rate']:g} requests per second, over all sidecars"
-        )
+        notes["settings.Parties"] = f"QuotaPerS is the share of {table['rate']:g} requests a second, at all sidecars"
     for name, row in table["classes"].items():
         if row["repeat"] == "keyed":
             notes[f"settings.Categories {name}"] = (
@@ -238,11 +236,11 @@
                 "a resend may have to connect first"
             )
         elif row["repeat"] == "never":
-            notes[f"settings.Categories {name}"] = "at_most_once: resent only if it is certain that it has not run"
+            notes[f"settings.Categories {name}"] = "at_most_once: sent again only where it surely has not run"
     if not table["discovery"]:
-        notes["known"] = "all endpoints: the description has no discovery, so a change of endpoints needs a restart"
+        notes["known"] = "all there is: no discovery is described, so a change of it needs a restart"
     elif not table["endpoints"]:
-        notes["known"] = "empty: no request is served until discovery has answered"
+        notes["known"] = "empty: nothing is served until discovery has answered"
     return notes
 
 
@@ -259,19 +257,19 @@
     host = table["listen"].rpartition(":")[0].strip("[]")
     loopback = host == "localhost" or ip_address(host).is_loopback
     loopback_only = loopback if table["loopback"] is None else table["loopback"]
-    yield f"# Operator's file of {application.name}. Generated from its description: edit that and generate it again."
-    yield "# `eiderhub config check` on this folder shows whether a sidecar would start from it."
+    yield f"# Operator's file of {application.name}. Written from its description: change that, and write again."
+    yield "# `eiderhub config check` on this folder says whether a sidecar would start and run soundly from it."
     yield ""
     yield "[limits]"
     if table["loopback"] is None:
-        yield f"# {'The sidecar listens on loopback, and only there.' if loopback else 'Not on loopback.'}"
+        yield f"# {'The description listens on loopback: nothing else should.' if loopback else 'Not on loopback.'}"
     yield f"listen = {toml_value('loopback' if loopback_only else 'any')}"
-    yield f"# {table['rate']:g} requests per second over {table['sidecars']} sidecars; checked against the descriptors."
+    yield f"# {table['rate']:g} requests a second over {table['sidecars']} sidecars; descriptors are held against it."
     yield f"rate = {toml_value(round(table['rate'] / table['sidecars'], 3))}"
     for name, row in table["classes"].items():
         yield ""
         yield f"[classes.{toml_key(name)}]"
-        yield "# Repeated here so that the checker detects a change of the sidecar's file alone."
+        yield "# Said once more, so that a change of the sidecar's file alone is found."
         yield f"repeat = {toml_value(row['repeat'])}"
         if row["remembered"]:
             yield f"remembered = {toml_value(format_duration(row['remembered']))}"
@@ -279,7 +277,7 @@
             yield f"aliases = {toml_value(list(row['aliases']))}"
     yield ""
     yield "[routing]"
-    yield "# How a request that no route matches is handled."
+    yield "# What becomes of a request that no route takes."
     yield f"default = {toml_value(table['default'])}"
     for name, pool in raw.get("pools", {}).items():
         yield from toml_table(f"[pools.{toml_key(name)}]", pool)
